--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -223,12 +223,14 @@
     "refusal of a daemon that is cut off": lambda: without(
         (LeaderWatch, "cut_off", lambda self: False)
     ),
-    "limit of work at upstreams": lambda: without((group, "work_limit", any_limit)),
+    "limit of work at upstreams": lambda: without(
+        (group, "concurrency_limit", any_limit)
+    ),
     "refusal for the queue's length": lambda: without(
         (admission.WorkQueue, "expected_wait", no_hurry)
     ),
     "order by worth and urgency": lambda: without(
-        (admission.WorkQueue, "rank", all_alike)
+        (admission.WorkQueue, "sort_key", all_alike)
     ),
     "known lag of replicas": lambda: without(*tuned(lag_weight=0.0)),
     "slow reads asked elsewhere": lambda: without(*tuned(hedge_floor=NEVER)),
--- a/packages/policy/gypsum_policy/admission.py
+++ b/packages/policy/gypsum_policy/admission.py
@@ -16,49 +16,49 @@
 # Statements that all owners together have at an upstream for each of its slots. One
 # runs, the others keep the slot busy while answers and questions travel and the owners'
 # shares are uneven; with four of them the last one waits for three statements' time.
-AHEAD_PER_SLOT = 4
+OUTSTANDING_PER_SLOT = 4
 # After an upstream's queue was full the limit is lower by one, for this long each,
 # seconds: longer than its queue takes to empty.
-LOWERED_FOR = 1.0
+LIMIT_REDUCED_FOR = 1.0
 # Callers are told to come back no sooner than this: a statement's time.
-LEAST_RETRY_MS = 30
+MIN_RETRY_MS = 30
 # ... and spread over this share of the queue's time.
-RETRY_SPREAD = 0.5
+RETRY_JITTER = 0.5
 # Weight of the newest statement in the mean time that one takes, and in the mean time
 # between two ends.
-MEAN_WEIGHT = 0.1
-PACE_WEIGHT = 0.2
+SERVICE_TIME_WEIGHT = 0.1
+INTERVAL_WEIGHT = 0.2
 
 
-def retry_after_ms(wait, request):
+def retry_after_ms(wait, request_id):
     """When a refused caller should come back: after the queue, each at its own time.
 
     What goes wrong when all are told the same: they come back together, and the queue
     is as long as before.
     """
-    spread = xxh32_intdigest(request.encode()) % 1000 / 1000
-    return max(LEAST_RETRY_MS, round(wait * 1000 * (1 + RETRY_SPREAD * spread)))
+    spread = xxh32_intdigest(request_id.encode()) % 1000 / 1000
+    return max(MIN_RETRY_MS, round(wait * 1000 * (1 + RETRY_JITTER * spread)))
 
 
-def work_limit(slots, owners):
+def concurrency_limit(slots, owners):
     """Statements that one of several owners may have at an upstream at once."""
-    return 1 + -(-AHEAD_PER_SLOT * slots // max(1, owners))
+    return 1 + -(-OUTSTANDING_PER_SLOT * slots // max(1, owners))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Claim:
+class AdmissionRequest:
     """A statement that wants to run; times in seconds on one clock.
 
-    A lower `priority` is worth more. `aim` is when its answer is due to be worth all,
+    A lower `priority` comes first. `target_time` is when its answer is due,
     `deadline` when it is worth nothing.
     """
 
     priority: int
-    aim: float
+    target_time: float
     deadline: float
 
 
-class Hopeless(Exception):
+class QueueTimeout(Exception):
     """A statement cannot be answered in time; `wait` is when there is room again."""
 
     def __init__(self, wait):
@@ -74,58 +74,62 @@
     holds it up, slots, connections or other owners.
     """
 
-    def __init__(self, *, limit, mean):
+    def __init__(self, *, limit, mean_service_time):
         self.limit = limit
-        self.mean = mean
-        self.pace = mean / limit
-        self.ended_at = None
+        self.mean_service_time = mean_service_time
+        self.completion_interval = mean_service_time / limit
+        self.finished_at = None
         self.running = 0
         self.waiting = {}
-        self.pressed_since = None
-        self.tickets = count()
-        self.lowered = []
+        self.backlogged_since = None
+        self.ticket_numbers = count()
+        self.reductions = []
 
     def limit_at(self, now):
         """The limit, lower where the upstream has turned work away of late."""
-        self.lowered = [until for until in self.lowered if until > now]
-        return max(1, self.limit - len(self.lowered))
+        self.reductions = [until for until in self.reductions if until > now]
+        return max(1, self.limit - len(self.reductions))
 
-    def turned_away(self, now):
+    def record_rejection(self, now):
         """The upstream's queue was full."""
-        if len(self.lowered) < self.limit - 1:
-            self.lowered.append(now + LOWERED_FOR)
+        if len(self.reductions) < self.limit - 1:
+            self.reductions.append(now + LIMIT_REDUCED_FOR)
 
-    def enter(self, claim, now):
+    def admit(self, request, now):
         """A ticket for a statement that has to wait, None for one that may start.
 
-        Raises Hopeless for one that would not be answered in time.
+        Raises QueueTimeout for one that would not be answered in time.
         """
         if self.has_room(now):
             self.running += 1
             return None
-        wait = self.expected_wait(claim, now)
-        if now + wait + self.mean > claim.deadline:
-            raise Hopeless(self.expected_wait(None, now))
-        ticket = next(self.tickets)
+        wait = self.expected_wait(request, now)
+        if now + wait + self.mean_service_time > request.deadline:
+            raise QueueTimeout(self.expected_wait(None, now))
+        ticket = next(self.ticket_numbers)
         if not self.waiting:
-            self.pressed_since = now
-        self.waiting[ticket] = claim
+            self.backlogged_since = now
+        self.waiting[ticket] = request
         return ticket
 
-    def join(self):
+    def start_unqueued(self):
         """A statement that may not wait, as its transaction is open, starts."""
         self.running += 1
 
-    def done(self, now, seconds=None):
+    def finish(self, now, seconds=None):
         """A statement has ended, after so many seconds if it was answered."""
         self.running -= 1
         if seconds is not None:
-            self.mean += MEAN_WEIGHT * (seconds - self.mean)
-        if self.ended_at is not None and self.waiting:
-            self.pace += PACE_WEIGHT * (now - self.ended_at - self.pace)
-        self.ended_at = now if self.waiting else None
+            self.mean_service_time += SERVICE_TIME_WEIGHT * (
+                seconds - self.mean_service_time
+            )
+        if self.finished_at is not None and self.waiting:
+            self.completion_interval += INTERVAL_WEIGHT * (
+                now - self.finished_at - self.completion_interval
+            )
+        self.finished_at = now if self.waiting else None
 
-    def leave(self, ticket):
+    def withdraw(self, ticket):
         """Whoever waited does so no more."""
         self.waiting.pop(ticket, None)
 
@@ -134,39 +138,42 @@
         able = [ticket for ticket in self.waiting if ticket in among]
         if not able or self.running >= self.limit_at(now):
             return None
-        ticket = min(able, key=lambda item: self.rank(item, now))
+        ticket = min(able, key=lambda item: self.sort_key(item, now))
         del self.waiting[ticket]
         self.running += 1
         return ticket
 
-    def rank(self, ticket, now):
+    def sort_key(self, ticket, now):
         """Order of those that wait: worth, then what can be in time, then urgency."""
-        claim = self.waiting[ticket]
-        late = now + self.mean > claim.aim
-        return (claim.priority, late, claim.aim, ticket)
+        request = self.waiting[ticket]
+        late = now + self.mean_service_time > request.target_time
+        return (request.priority, late, request.target_time, ticket)
 
-    def hopeless(self, now):
+    def timed_out(self, now):
         """Tickets that cannot be answered in time any more."""
         return [
             ticket
-            for ticket, claim in self.waiting.items()
-            if now + self.mean > claim.deadline
+            for ticket, request in self.waiting.items()
+            if now + self.mean_service_time > request.deadline
         ]
 
-    def expected_wait(self, claim, now):
-        """Seconds until a claim starts; with None, until all that wait have started."""
+    def expected_wait(self, request, now):
+        """Seconds until a request starts; None: until all that wait have started."""
         ahead = len(self.waiting)
-        if claim is not None:
+        if request is not None:
             ahead = sum(
-                other.priority < claim.priority
-                or (other.priority == claim.priority and other.aim <= claim.aim)
+                other.priority < request.priority
+                or (
+                    other.priority == request.priority
+                    and other.target_time <= request.target_time
+                )
                 for other in self.waiting.values()
             )
-        return (ahead + 1) * self.pace
+        return (ahead + 1) * self.completion_interval
 
-    def pressed_for(self, now):
+    def backlogged_for(self, now):
         """Seconds for which statements have waited here without a break."""
-        return now - self.pressed_since if self.waiting else 0.0
+        return now - self.backlogged_since if self.waiting else 0.0
 
     @property
     def load(self):
--- a/packages/policy/gypsum_policy/succession.py
+++ b/packages/policy/gypsum_policy/succession.py
@@ -21,15 +21,17 @@
 REST = 6.0
 
 
-def worth_changing(*, behind_for, pressed_for, led_for):
+def worth_changing(*, behind_for, backlogged_for, led_for):
     """Tell whether another member should lead since the replicas are behind.
 
     `behind_for`: seconds for which no replica has answered a read, though asked;
-    `pressed_for`: for which statements have waited at the primary; `led_for`: since it
+    `backlogged_for`: for which statements have waited; `led_for`: since it
     took the lead, or a takeover was tried.
     """
     return (
-        behind_for >= BEHIND_AFTER and pressed_for >= PRESSED_AFTER and led_for >= REST
+        behind_for >= BEHIND_AFTER
+        and backlogged_for >= PRESSED_AFTER
+        and led_for >= REST
     )
 
 
--- a/packages/sessions/gypsum_sessions/execution/jobs.py
+++ b/packages/sessions/gypsum_sessions/execution/jobs.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 from gypsum_core.records import Position
-from gypsum_policy.admission import Claim
+from gypsum_policy.admission import AdmissionRequest
 from gypsum_policy.credentials import NOBODY, Credential
 from gypsum_sessions.catalog import Route
 from gypsum_sessions.statements import Statement
@@ -60,9 +60,9 @@
     def claim(self):
         """What decides when it comes: its answer is due by its route's target."""
         began = self.deadline - self.route.statement_timeout
-        return Claim(
+        return AdmissionRequest(
             priority=self.route.priority,
-            aim=began + self.route.latency_target,
+            target_time=began + self.route.latency_target,
             deadline=self.deadline,
         )
 
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from gypsum_policy.admission import Hopeless, retry_after_ms
+from gypsum_policy.admission import QueueTimeout, retry_after_ms
 from gypsum_policy.routing import order_for_read
 from gypsum_sessions.catalog import ReadRule
 from gypsum_sessions.replies import KEY_WITHDRAWN, Refusal, Reply, UpstreamError
@@ -155,7 +155,7 @@
     job.tried.append(upstream)
     try:
         turn = item.turns.enter(job.claim())
-    except Hopeless as exc:
+    except QueueTimeout as exc:
         return {asyncio.create_task(give_up(item, exc))}
     task = asyncio.create_task(attempt_read(group, job, item, turn))
     task.add_done_callback(lambda _: turn.release())
@@ -196,7 +196,7 @@
             if not group.around.catalog.stands(job.credential):
                 return Attempt(upstream=item.id, reply=withdrawn())
             return await attempt_now(group, job, item)
-    except Hopeless as exc:
+    except QueueTimeout as exc:
         return await give_up(item, exc)
 
 
@@ -270,7 +270,7 @@
     if reply.refusal is Refusal.UNKNOWN_NAME:
         pooled.dirty = True
     if reply.refusal is Refusal.BUSY:
-        item.turns.queue.turned_away(around.clock())
+        item.turns.queue.record_rejection(around.clock())
 
 
 def overloaded(job, wait):
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -4,7 +4,7 @@
 from contextlib import nullcontext
 from dataclasses import dataclass
 
-from gypsum_policy.admission import Hopeless
+from gypsum_policy.admission import QueueTimeout
 from gypsum_sessions.catalog import Route
 from gypsum_sessions.execution.confirm import can_confirm, is_safe
 from gypsum_sessions.execution.reads import (
@@ -80,7 +80,7 @@
     while True:
         try:
             refused = await opened(group, tx, job)
-        except Hopeless as exc:
+        except QueueTimeout as exc:
             return overloaded(job, exc.wait)
         except Withdrawn:
             return withdrawn()
@@ -129,8 +129,8 @@
 async def begin_at(group, tx, job, item, statement, after=None):
     """Open the transaction at one upstream in its turn; tell whether it is open.
 
-    Raises Hopeless. What goes wrong when it takes a connection out of turn: rushes of
-    transactions hold all of them while what is worth more waits.
+    Raises QueueTimeout. What goes wrong when it takes a connection out of turn: rushes
+    of transactions hold all of them while what is worth more waits.
     """
     job.tried.append(item.id)
     async with item.turns.enter(job.claim()):
@@ -223,7 +223,7 @@
             return reply
         item = group.upstreams.get(tx.upstream)
         if item is not None:
-            item.turns.queue.turned_away(clock())
+            item.turns.queue.record_rejection(clock())
         if job.left(clock) <= 2 * BUSY_PAUSE:
             return reply
         await asyncio.sleep(BUSY_PAUSE)
--- a/packages/sessions/gypsum_sessions/execution/turns.py
+++ b/packages/sessions/gypsum_sessions/execution/turns.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsum_policy.admission import Hopeless, WorkQueue
+from gypsum_policy.admission import QueueTimeout, WorkQueue
 
 
 class Turn:
@@ -20,7 +20,7 @@
         self.over = False
 
     async def __aenter__(self):
-        """Wait until it is our turn; raises Hopeless if it would come too late."""
+        """Wait until it is our turn; raises QueueTimeout if it would come too late."""
         if self.ticket is not None:
             await self.turns.wait(self.ticket, self.claim.deadline)
             self.ticket = None
@@ -36,7 +36,7 @@
             return
         self.over = True
         if self.ticket is not None:
-            self.turns.queue.leave(self.ticket)
+            self.turns.queue.withdraw(self.ticket)
             return
         now = self.turns.clock()
         self.turns.ended(now - self.began if answered else None)
@@ -50,7 +50,7 @@
 
     async def __aenter__(self):
         """It starts."""
-        self.turns.queue.join()
+        self.turns.queue.start_unqueued()
 
     async def __aexit__(self, kind, exc, trace):
         """It has ended."""
@@ -61,12 +61,12 @@
     """The queue before one upstream."""
 
     def __init__(self, *, limit, mean, clock):
-        self.queue = WorkQueue(limit=limit, mean=mean)
+        self.queue = WorkQueue(limit=limit, mean_service_time=mean)
         self.clock = clock
         self.futures = {}
 
     def enter(self, claim):
-        """A place for a statement; raises Hopeless if it would come too late."""
+        """A place for a statement; raises QueueTimeout if it would come too late."""
         return Turn(turns=self, claim=claim)
 
     def joined(self):
@@ -75,15 +75,15 @@
 
     def take_ticket(self, claim):
         """Enter the queue; None for a statement that may start at once."""
-        return self.queue.enter(claim, self.clock())
+        return self.queue.admit(claim, self.clock())
 
     def ended(self, seconds):
         """A statement has ended, after so many seconds if it was answered."""
-        self.queue.done(self.clock(), seconds)
+        self.queue.finish(self.clock(), seconds)
         self.start_waiting()
 
     async def wait(self, ticket, deadline):
-        """Wait until a ticket may start; raises Hopeless at the end of its time."""
+        """Wait until a ticket may start; raises QueueTimeout at the end of its time."""
         fut = asyncio.get_running_loop().create_future()
         self.futures[ticket] = fut
         self.start_waiting()
@@ -91,12 +91,12 @@
             async with asyncio.timeout(deadline - self.clock()):
                 await fut
         except BaseException as exc:
-            self.queue.leave(ticket)
+            self.queue.withdraw(ticket)
             if fut.done() and not fut.cancelled() and fut.exception() is None:
                 # The turn came just as we gave up: it is the next one's.
                 self.ended(None)
             if isinstance(exc, TimeoutError):
-                raise Hopeless(self.queue.mean) from None
+                raise QueueTimeout(self.queue.mean_service_time) from None
             raise
         finally:
             self.futures.pop(ticket, None)
@@ -104,10 +104,10 @@
     def start_waiting(self):
         """Start whoever may, and refuse whom no turn would help any more."""
         now = self.clock()
-        for ticket in self.queue.hopeless(now):
+        for ticket in self.queue.timed_out(now):
             if ticket in self.futures:
-                self.queue.leave(ticket)
-                self.tell(ticket, Hopeless(self.queue.expected_wait(None, now)))
+                self.queue.withdraw(ticket)
+                self.tell(ticket, QueueTimeout(self.queue.expected_wait(None, now)))
         while self.start_one(now):
             pass
 
@@ -124,7 +124,7 @@
         fut = self.futures[ticket]
         if fut.done():
             if refusal is None:
-                self.queue.done(self.clock())
+                self.queue.finish(self.clock())
         elif refusal is None:
             fut.set_result(None)
         else:
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsum_policy.admission import Hopeless
+from gypsum_policy.admission import QueueTimeout
 from gypsum_sessions.execution.confirm import can_confirm, is_safe
 from gypsum_sessions.execution.reads import no_leader, overloaded, withdrawn
 from gypsum_sessions.replies import (
@@ -43,7 +43,7 @@
                 if not around.catalog.stands(job.credential):
                     return withdrawn()
                 reply = await try_write(group, job, item)
-        except Hopeless as exc:
+        except QueueTimeout as exc:
             return overloaded(job, exc.wait)
         except NotSent as exc:
             around.log(PART, "not sent", request=job.request, error=str(exc))
@@ -54,7 +54,7 @@
             return reply
         last = reply
         if reply.refusal is Refusal.BUSY:
-            item.turns.queue.turned_away(clock())
+            item.turns.queue.record_rejection(clock())
         else:
             group.watch.doubt(item.id)
         await asyncio.sleep(REFUSED_PAUSE)
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from gypsum_policy.admission import work_limit
+from gypsum_policy.admission import concurrency_limit
 from gypsum_policy.ownership import share_after_start
 from gypsum_policy.routing import Candidate
 from gypsum_sessions.borders import Clock, Dialer, EventLog
@@ -121,7 +121,9 @@
 
     def work_limit(self, member):
         """Statements that this daemon may have at an upstream at once."""
-        return work_limit(member.slots, self.around.daemons.owner_count(self.spec))
+        return concurrency_limit(
+            member.slots, self.around.daemons.owner_count(self.spec)
+        )
 
     def has_connection(self, *, writes, soon=False):
         """Tell whether a transaction can be opened without waiting for a connection.
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -5,51 +5,53 @@
 from hypothesis import strategies as st
 
 from gypsum_policy.admission import (
-    LEAST_RETRY_MS,
-    LOWERED_FOR,
-    Claim,
-    Hopeless,
+    LIMIT_REDUCED_FOR,
+    MIN_RETRY_MS,
+    AdmissionRequest,
+    QueueTimeout,
     WorkQueue,
+    concurrency_limit,
     retry_after_ms,
-    work_limit,
 )
 
 MEAN = 0.02
 
 
-def claim(*, priority=1, aim=0.2, deadline=1.0):
+def claim(*, priority=1, target_time=0.2, deadline=1.0):
     """What a statement wants, on a clock that starts at 0."""
-    return Claim(priority=priority, aim=aim, deadline=deadline)
+    return AdmissionRequest(
+        priority=priority, target_time=target_time, deadline=deadline
+    )
 
 
 def full_queue(limit=2):
     """A queue all of whose places are taken."""
-    queue = WorkQueue(limit=limit, mean=MEAN)
+    queue = WorkQueue(limit=limit, mean_service_time=MEAN)
     for _ in range(limit):
-        assert queue.enter(claim(), 0.0) is None
+        assert queue.admit(claim(), 0.0) is None
     return queue
 
 
 def next_of(queue, tickets, now=0.0):
     """The name of the ticket that starts when one place comes free."""
-    queue.done(now)
+    queue.finish(now)
     started = queue.start_next(now, set(tickets.values()))
     return next(name for name, ticket in tickets.items() if ticket == started)
 
 
 def test_all_owners_together_stay_near_the_upstreams_slots():
     for owners in (1, 3, 5, 9):
-        total = owners * work_limit(3, owners)
+        total = owners * concurrency_limit(3, owners)
         assert 12 <= total <= 12 + 2 * owners
 
 
 def test_worth_goes_first_then_what_can_be_in_time_then_urgency():
     queue = full_queue()
     tickets = {
-        "late": queue.enter(claim(aim=0.01), 0.0),
-        "patient": queue.enter(claim(aim=0.5), 0.0),
-        "urgent": queue.enter(claim(aim=0.1), 0.0),
-        "worth": queue.enter(claim(priority=0, aim=0.9), 0.0),
+        "late": queue.admit(claim(target_time=0.01), 0.0),
+        "patient": queue.admit(claim(target_time=0.5), 0.0),
+        "urgent": queue.admit(claim(target_time=0.1), 0.0),
+        "worth": queue.admit(claim(priority=0, target_time=0.9), 0.0),
     }
     order = [next_of(queue, tickets) for _ in range(4)]
     assert order == ["worth", "urgent", "patient", "late"]
@@ -63,64 +65,64 @@
     """
     queue = full_queue()
     waiting = 0
-    with pytest.raises(Hopeless) as caught:
+    with pytest.raises(QueueTimeout) as caught:
         while waiting < 1000:
-            queue.enter(claim(deadline=0.2), 0.0)
+            queue.admit(claim(deadline=0.2), 0.0)
             waiting += 1
     assert 5 < waiting < 30
-    assert caught.value.wait == pytest.approx((waiting + 1) * queue.pace)
+    assert caught.value.wait == pytest.approx((waiting + 1) * queue.completion_interval)
 
 
 def test_the_pace_that_is_seen_decides_not_the_statements_own_time():
     """Before an upstream that others load too a queue moves slower than it looks."""
     queue = full_queue()
-    tickets = [queue.enter(claim(deadline=9.0), 0.0) for _ in range(20)]
+    tickets = [queue.admit(claim(deadline=9.0), 0.0) for _ in range(20)]
     for step in range(1, 15):
-        queue.done(0.2 * step)
+        queue.finish(0.2 * step)
         queue.start_next(0.2 * step, set(tickets))
-    assert queue.pace > 0.15
+    assert queue.completion_interval > 0.15
 
 
 def test_who_waits_too_long_is_found():
     queue = full_queue()
-    ticket = queue.enter(claim(deadline=0.3), 0.0)
-    assert queue.hopeless(0.1) == []
-    assert queue.hopeless(0.29) == [ticket]
+    ticket = queue.admit(claim(deadline=0.3), 0.0)
+    assert queue.timed_out(0.1) == []
+    assert queue.timed_out(0.29) == [ticket]
 
 
 def test_a_full_queue_at_the_upstream_lowers_the_limit_for_a_while():
-    queue = WorkQueue(limit=4, mean=MEAN)
+    queue = WorkQueue(limit=4, mean_service_time=MEAN)
     for _ in range(9):
-        queue.turned_away(0.0)
+        queue.record_rejection(0.0)
     assert queue.limit_at(0.0) == 1
-    assert queue.limit_at(LOWERED_FOR + 0.01) == 4
+    assert queue.limit_at(LIMIT_REDUCED_FOR + 0.01) == 4
 
 
 def test_the_press_lasts_as_long_as_somebody_waits():
     queue = full_queue()
-    ticket = queue.enter(claim(deadline=9.0), 1.0)
-    assert queue.pressed_for(1.5) == 0.5
-    queue.leave(ticket)
-    assert queue.pressed_for(2.0) == 0.0
+    ticket = queue.admit(claim(deadline=9.0), 1.0)
+    assert queue.backlogged_for(1.5) == 0.5
+    queue.withdraw(ticket)
+    assert queue.backlogged_for(2.0) == 0.0
 
 
 def test_refused_callers_come_back_after_the_queue_and_one_by_one():
     times = [retry_after_ms(0.4, f"request-{number}") for number in range(200)]
     assert min(times) >= 400 and max(times) <= 600
     assert len(set(times)) > 100
-    assert retry_after_ms(0.0, "x") == LEAST_RETRY_MS
+    assert retry_after_ms(0.0, "x") == MIN_RETRY_MS
 
 
 @given(steps=st.lists(st.sampled_from(["enter", "done", "start"]), max_size=60))
 def test_no_more_run_than_may_whatever_comes(steps):
-    queue = WorkQueue(limit=3, mean=MEAN)
+    queue = WorkQueue(limit=3, mean_service_time=MEAN)
     running = 0
     for number, step in enumerate(steps):
         now = number * 0.001
         if step == "enter":
-            running += queue.enter(claim(deadline=99.0), now) is None
+            running += queue.admit(claim(deadline=99.0), now) is None
         elif step == "done" and running:
-            queue.done(now)
+            queue.finish(now)
             running -= 1
         else:
             running += queue.start_next(now, set(queue.waiting)) is not None
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -66,10 +66,10 @@
 
 
 def test_it_takes_both_far_replicas_and_a_queue():
-    assert worth_changing(behind_for=2.0, pressed_for=1.0, led_for=9.0)
-    assert not worth_changing(behind_for=2.0, pressed_for=0.0, led_for=9.0)
-    assert not worth_changing(behind_for=0.0, pressed_for=1.0, led_for=9.0)
-    assert not worth_changing(behind_for=2.0, pressed_for=1.0, led_for=3.0)
+    assert worth_changing(behind_for=2.0, backlogged_for=1.0, led_for=9.0)
+    assert not worth_changing(behind_for=2.0, backlogged_for=0.0, led_for=9.0)
+    assert not worth_changing(behind_for=0.0, backlogged_for=1.0, led_for=9.0)
+    assert not worth_changing(behind_for=2.0, backlogged_for=1.0, led_for=3.0)
 
 
 async def read_at_random(rig, proxy, rng, until, told):
