--- a/packages/policy/gypsum_policy/connections.py
+++ b/packages/policy/gypsum_policy/connections.py
@@ -13,12 +13,12 @@
 
 # Connections that one workspace leaves to the others, as a share of an upstream's:
 # its transactions pause, and hold theirs meanwhile.
-KEPT_FOR_OTHERS = 0.25
+RESERVED_SHARE = 0.25
 # With fewer connections than this none is kept back: each would be a large part.
-LEAST_TO_SHARE = 4
+MIN_LIMIT_TO_RESERVE = 4
 
 
-def to_close(idle):
+def index_to_evict(idle):
     """Place of the idle connection that gives way to a new one; None without any.
 
     `idle` holds (workspace, idle since) of each, times in seconds.
@@ -27,11 +27,11 @@
         return None
     names = [workspace for workspace, _ in idle]
 
-    def rank(place):
-        workspace, since = idle[place]
+    def sort_key(index):
+        workspace, since = idle[index]
         return (names.count(workspace) < 2, since)
 
-    return min(range(len(idle)), key=rank)
+    return min(range(len(idle)), key=sort_key)
 
 
 def may_hold(held, *, workspace, limit):
@@ -41,6 +41,6 @@
     What goes wrong without it: a large workspace's transactions hold every connection
     while their callers pause, and the small ones wait for them.
     """
-    if not workspace or limit < LEAST_TO_SHARE:
+    if not workspace or limit < MIN_LIMIT_TO_RESERVE:
         return True
-    return held[workspace] + 1 <= limit * (1 - KEPT_FOR_OTHERS)
+    return held[workspace] + 1 <= limit * (1 - RESERVED_SHARE)
--- a/packages/sessions/gypsum_sessions/upstreams/pool.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pool.py
@@ -4,7 +4,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass
 
-from gypsum_policy.connections import may_hold, to_close
+from gypsum_policy.connections import index_to_evict, may_hold
 from gypsum_sessions.replies import (
     NoFreeConnection,
     Refusal,
@@ -112,8 +112,10 @@
         Two of them where a proof has opened one beyond the limit.
         """
         while self.idle and self.opened >= self.limit:
-            place = to_close([(item.workspace, item.idle_since) for item in self.idle])
-            self.idle.pop(place).conn.close()
+            index = index_to_evict(
+                [(item.workspace, item.idle_since) for item in self.idle]
+            )
+            self.idle.pop(index).conn.close()
             self.opened -= 1
             self.displaced += 1
         return self.opened < self.limit
