--- a/packages/policy/gypsum_policy/credentials.py
+++ b/packages/policy/gypsum_policy/credentials.py
@@ -26,10 +26,10 @@
     version: int = -1
 
 
-NOBODY = Credential()
+ANONYMOUS = Credential()
 
 
-def stands(credential, *, version, holder):
+def is_credential_valid(credential, *, version, holder):
     """Tell whether a credential still counts where `version` is in force.
 
     `holder` is the workspace that has its key there, None if none has.
--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from gypsum_core.records import Position
-from gypsum_policy.credentials import NOBODY, Credential
+from gypsum_policy.credentials import ANONYMOUS, Credential
 from gypsum_policy.usage import come_back_ms
 from gypsum_sessions.callers.access import OpenTransaction
 from gypsum_sessions.catalog import Route
@@ -44,7 +44,7 @@
     route: Route
     proxy: object
     digest: str = ""
-    credential: Credential = NOBODY
+    credential: Credential = ANONYMOUS
     withdrawn: bool = False
     values: dict[str, str] = field(default_factory=dict)
     prepared: dict[str, Prepared] = field(default_factory=dict)
--- a/packages/sessions/gypsum_sessions/catalog.py
+++ b/packages/sessions/gypsum_sessions/catalog.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from gypsum_policy.credentials import NOBODY, Credential, stands
+from gypsum_policy.credentials import ANONYMOUS, Credential, is_credential_valid
 from gypsum_policy.usage import Cap
 
 
@@ -111,7 +111,7 @@
         """The credential of a caller that shows a key; None if it is not let in."""
         current = self.current
         if not current.asks_key(route):
-            return NOBODY
+            return ANONYMOUS
         holder = current.holders.get(digest)
         if holder is None:
             return None
@@ -126,7 +126,7 @@
     def stands(self, credential):
         """Tell whether a caller that was let in may go on."""
         holder = self.current.holders.get(credential.digest) if self.current else None
-        return stands(credential, version=self.version, holder=holder)
+        return is_credential_valid(credential, version=self.version, holder=holder)
 
     def renew(self, credential, route, digest):
         """A session's credential under the version in force, None if it fell.
--- a/packages/sessions/gypsum_sessions/daemons/asks.py
+++ b/packages/sessions/gypsum_sessions/daemons/asks.py
@@ -9,7 +9,7 @@
 from msgspec import Struct, ValidationError, convert, to_builtins
 
 from gypsum_core.records import Position
-from gypsum_policy.credentials import NOBODY, Credential
+from gypsum_policy.credentials import ANONYMOUS, Credential
 from gypsum_policy.usage import Cap
 from gypsum_sessions.catalog import Route
 from gypsum_sessions.replies import Reply
@@ -48,7 +48,7 @@
     if_led: bool = False
     last_resort: bool = False
     hears_ends: bool = False
-    credential: Credential = NOBODY
+    credential: Credential = ANONYMOUS
 
 
 class Answer(Struct, frozen=True, kw_only=True, array_like=True, tag="answer"):
--- a/packages/sessions/gypsum_sessions/execution/jobs.py
+++ b/packages/sessions/gypsum_sessions/execution/jobs.py
@@ -5,7 +5,7 @@
 
 from gypsum_core.records import Position
 from gypsum_policy.admission import AdmissionRequest
-from gypsum_policy.credentials import NOBODY, Credential
+from gypsum_policy.credentials import ANONYMOUS, Credential
 from gypsum_sessions.catalog import Route
 from gypsum_sessions.statements import Statement
 
@@ -50,7 +50,7 @@
     owner: str = ""
     may_have_run: bool = False
     queue: float = 0.0
-    credential: Credential = NOBODY
+    credential: Credential = ANONYMOUS
 
     @property
     def workspace(self):
--- a/tests/policy/test_credentials.py
+++ b/tests/policy/test_credentials.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gypsum_policy.credentials import NOBODY, Credential, stands
+from gypsum_policy.credentials import ANONYMOUS, Credential, is_credential_valid
 
 KEY = Credential(workspace="north", digest="d", version=7)
 
@@ -20,8 +20,8 @@
     ],
 )
 def test_the_newer_configuration_decides(version, holder, expected):
-    assert stands(KEY, version=version, holder=holder) is expected
+    assert is_credential_valid(KEY, version=version, holder=holder) is expected
 
 
 def test_who_needs_no_key_loses_none():
-    assert stands(NOBODY, version=9, holder=None)
+    assert is_credential_valid(ANONYMOUS, version=9, holder=None)
