--- a/packages/cli/gypsum_cli/check_settings.py
+++ b/packages/cli/gypsum_cli/check_settings.py
@@ -9,7 +9,7 @@
 from gypsum_cli.exits import ExitCode
 from gypsum_cli.options import AsJson
 from gypsum_cli.output import fail, show
-from gypsum_policy.leaving import plan_for
+from gypsum_policy.draining import plan_for
 from gypsum_sessions.settings import SettingsError, load_session_settings
 
 
--- a/tests/policy/test_leaving.py
+++ b/tests/policy/test_draining.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsum_policy.leaving import plan_for, share_to_close, stand_in, takes_new
+from gypsum_policy.draining import plan_for, share_to_close, stand_in, takes_new
 from gypsum_policy.ownership import MOST_UNABLE, is_last_resort
 
 GRACE = 6.0
--- a/tests/sessions/test_drain.py
+++ b/tests/sessions/test_drain.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gypsum_platform.codec import read_statement
-from gypsum_policy.leaving import plan_for
+from gypsum_policy.draining import plan_for
 from gypsum_sessions.callers.drain import drain
 from gypsum_sessions.replies import Refusal, SessionState
 from tests.sessions.connected import connect
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gypsum_policy.leaving import plan_for
+from gypsum_policy.draining import plan_for
 from gypsum_sessions.callers.drain import drain
 from gypsum_sessions.daemons import following
 from gypsum_sessions.daemons.following import Following
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from gypsum_platform.codec import read_statement
-from gypsum_policy.leaving import plan_for
+from gypsum_policy.draining import plan_for
 from gypsum_sessions.callers.drain import drain
 from gypsum_sessions.replies import Refusal
 from tests.sessions.connected import connect
