--- a/packages/cli/gypsum_cli/check_settings.py
+++ b/packages/cli/gypsum_cli/check_settings.py
@@ -9,7 +9,7 @@
 from gypsum_cli.exits import ExitCode
 from gypsum_cli.options import AsJson
 from gypsum_cli.output import fail, show
-from gypsum_policy.draining import plan_for
+from gypsum_policy.draining import make_drain_plan
 from gypsum_sessions.settings import SettingsError, load_session_settings
 
 
@@ -19,13 +19,13 @@
         settings = load_session_settings(command.settings)
     except SettingsError as exc:
         return fail(exc)
-    plan = plan_for(settings.grace_seconds)
+    plan = make_drain_plan(settings.grace_seconds)
     show(
-        {"daemon": settings.daemon, "in_order": True, "drain_seconds": plan.total},
+        {"daemon": settings.daemon, "in_order": True, "drain_seconds": plan.exit_by},
         [
             f"{settings.daemon}: the settings are in order",
             f"callers at {settings.callers}, probes at {settings.probes}",
-            f"a drain ends within {plan.total:.1f} s",
+            f"a drain ends within {plan.exit_by:.1f} s",
         ],
         as_json=command.json,
     )
--- a/packages/policy/gypsum_policy/draining.py
+++ b/packages/policy/gypsum_policy/draining.py
@@ -24,15 +24,15 @@
     `total` the process has to be gone.
     """
 
-    notice: float
-    sessions: float
-    listen: float
-    transactions: float
-    answers: float
-    total: float
+    notice_end: float
+    close_sessions_by: float
+    stop_listening_at: float
+    roll_back_at: float
+    answer_by: float
+    exit_by: float
 
 
-def plan_for(grace):
+def make_drain_plan(grace):
     """The plan for a grace time, in seconds.
 
     Transactions get three quarters: a statement takes a second at most on most routes,
@@ -40,38 +40,38 @@
     caller of the rollback.
     """
     return DrainPlan(
-        notice=0.37 * grace,
-        sessions=0.51 * grace,
-        listen=0.55 * grace,
-        transactions=0.75 * grace,
-        answers=0.9 * grace,
-        total=0.95 * grace,
+        notice_end=0.37 * grace,
+        close_sessions_by=0.51 * grace,
+        stop_listening_at=0.55 * grace,
+        roll_back_at=0.75 * grace,
+        answer_by=0.9 * grace,
+        exit_by=0.95 * grace,
     )
 
 
-def share_to_close(plan, passed, every):
+def session_share_to_close(plan, elapsed, interval):
     """The part of the idle sessions to close now, with a look `every` so many seconds.
 
     What goes wrong when all are closed at once: they all come back at the same
     moment, at the daemons that are left.
     """
-    left = max(1, round((plan.sessions - passed) / every))
+    left = max(1, round((plan.close_sessions_by - elapsed) / interval))
     return 1 / left
 
 
-def takes_new(plan, passed, *, opens, last_resort):
+def accepts_work(plan, elapsed, *, opens_transaction, last_resort):
     """Tell whether a daemon that leaves takes new work of another daemon.
 
     Until the notice is over it does, for the word that it leaves may be on its way.
     After that only single statements (`opens` is false) that nobody else could run:
     they end before it does, a transaction may not.
     """
-    if passed < plan.notice:
+    if elapsed < plan.notice_end:
         return True
-    return last_resort and not opens
+    return last_resort and not opens_transaction
 
 
-def stand_in(names, *, owners, own, away):
+def choose_standby(names, *, owners, own, away):
     """Who has to be ready to own a group, as `own` leaves; empty if nobody has to.
 
     `names` is the group's order of daemons, of which the first `owners` own it; `away`
@@ -82,5 +82,5 @@
         return ""
     if any(name not in away for name in names[:owners] if name != own):
         return ""
-    nexts = [name for name in names[owners:] if name not in away]
-    return nexts[names.index(own) % len(nexts)] if nexts else ""
+    standbys = [name for name in names[owners:] if name not in away]
+    return standbys[names.index(own) % len(standbys)] if standbys else ""
--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from gypsum_policy.draining import DrainPlan, share_to_close, takes_new
+from gypsum_policy.draining import DrainPlan, accepts_work, session_share_to_close
 from gypsum_sessions.borders import Clock
 from gypsum_sessions.daemons.standins import StandIns
 from gypsum_sessions.replies import SessionState
@@ -29,21 +29,23 @@
     @property
     def answer_by(self):
         """When everything that runs has to be answered."""
-        return self.began + self.plan.answers
+        return self.began + self.plan.answer_by
 
     @property
     def opens_for(self):
         """Seconds for which transactions of other daemons are still opened."""
-        return max(0.0, self.plan.notice - self.passed)
+        return max(0.0, self.plan.notice_end - self.passed)
 
     @property
     def closes_sessions(self):
         """Tell whether a session is closed as soon as it waits for nothing."""
-        return self.passed >= self.plan.sessions
+        return self.passed >= self.plan.close_sessions_by
 
     def takes(self, *, opens, last_resort):
         """Tell whether new work of another daemon is taken."""
-        return takes_new(self.plan, self.passed, opens=opens, last_resort=last_resort)
+        return accepts_work(
+            self.plan, self.passed, opens_transaction=opens, last_resort=last_resort
+        )
 
 
 async def drain(proxy, plan, stop_listening):
@@ -55,15 +57,17 @@
         desk.tell_leaving()
     stand_ins = StandIns(proxy=proxy)
     listening = True
-    while departure.passed < plan.total:
+    while departure.passed < plan.exit_by:
         stand_ins.look()
-        if listening and departure.passed >= plan.listen:
+        if listening and departure.passed >= plan.stop_listening_at:
             listening = False
             stop_listening()
-        if departure.passed >= plan.transactions:
+        if departure.passed >= plan.roll_back_at:
             await end_transactions(proxy)
-        if departure.passed >= plan.notice:
-            close_idle(proxy, share_to_close(plan, departure.passed, LOOK_EVERY))
+        if departure.passed >= plan.notice_end:
+            close_idle(
+                proxy, session_share_to_close(plan, departure.passed, LOOK_EVERY)
+            )
         if not listening and not proxy.callers and not owners_work(proxy):
             break
         await asyncio.sleep(LOOK_EVERY)
--- a/packages/sessions/gypsum_sessions/daemons/standins.py
+++ b/packages/sessions/gypsum_sessions/daemons/standins.py
@@ -1,6 +1,6 @@
 """Makes those that come next ready when all owners of a group leave at once."""
 
-from gypsum_policy.draining import stand_in
+from gypsum_policy.draining import choose_standby
 from gypsum_sessions.daemons.asks import TakeUp
 from gypsum_sessions.daemons.peers import PeerLost
 
@@ -53,7 +53,7 @@
         owners = daemons.owner_count(group.spec)
         names = daemons.order(group.name, owners * STAND_INS)
         away = {name for name in names if peers.avoided(name)}
-        return stand_in(names, owners=owners, own=self.proxy.name, away=away)
+        return choose_standby(names, owners=owners, own=self.proxy.name, away=away)
 
     async def wake(self, name, group):
         """Ask a daemon to work with a group."""
--- a/tests/policy/test_draining.py
+++ b/tests/policy/test_draining.py
@@ -3,64 +3,80 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsum_policy.draining import plan_for, share_to_close, stand_in, takes_new
+from gypsum_policy.draining import (
+    accepts_work,
+    choose_standby,
+    make_drain_plan,
+    session_share_to_close,
+)
 from gypsum_policy.ownership import MOST_UNABLE, is_last_resort
 
 GRACE = 6.0
-PLAN = plan_for(GRACE)
+PLAN = make_drain_plan(GRACE)
 ORDER = ["a", "b", "c", "d", "e", "f"]
 
 
 @given(grace=st.floats(1.0, 120.0))
 def test_phases_follow_each_other_and_end_within_the_grace(grace):
-    plan = plan_for(grace)
+    plan = make_drain_plan(grace)
     phases = [
-        plan.notice,
-        plan.sessions,
-        plan.listen,
-        plan.transactions,
-        plan.answers,
-        plan.total,
+        plan.notice_end,
+        plan.close_sessions_by,
+        plan.stop_listening_at,
+        plan.roll_back_at,
+        plan.answer_by,
+        plan.exit_by,
     ]
     assert phases == sorted(phases)
-    assert plan.total < grace
-    assert plan.transactions >= grace / 2
+    assert plan.exit_by < grace
+    assert plan.roll_back_at >= grace / 2
 
 
 def test_new_work_is_taken_until_the_notice_is_over():
-    assert takes_new(PLAN, PLAN.notice - 0.1, opens=True, last_resort=False)
-    assert not takes_new(PLAN, PLAN.notice, opens=True, last_resort=False)
-    assert not takes_new(PLAN, PLAN.notice, opens=False, last_resort=False)
+    assert accepts_work(
+        PLAN, PLAN.notice_end - 0.1, opens_transaction=True, last_resort=False
+    )
+    assert not accepts_work(
+        PLAN, PLAN.notice_end, opens_transaction=True, last_resort=False
+    )
+    assert not accepts_work(
+        PLAN, PLAN.notice_end, opens_transaction=False, last_resort=False
+    )
 
 
 def test_single_statements_that_nobody_else_could_run_are_taken_to_the_end():
-    assert takes_new(PLAN, PLAN.answers, opens=False, last_resort=True)
+    assert accepts_work(PLAN, PLAN.answer_by, opens_transaction=False, last_resort=True)
 
 
 def test_no_transaction_is_opened_after_the_notice_whoever_asks():
-    assert not takes_new(PLAN, PLAN.notice, opens=True, last_resort=True)
+    assert not accepts_work(
+        PLAN, PLAN.notice_end, opens_transaction=True, last_resort=True
+    )
 
 
 def test_sessions_are_closed_in_turn_and_the_last_share_is_all():
-    shares = [share_to_close(PLAN, PLAN.notice + n * 0.05, 0.05) for n in range(20)]
+    shares = [
+        session_share_to_close(PLAN, PLAN.notice_end + n * 0.05, 0.05)
+        for n in range(20)
+    ]
     assert shares == sorted(shares)
     assert shares[0] < 0.1 and shares[-1] == 1
 
 
 def test_nobody_has_to_be_ready_while_an_owner_stays():
     away = {"a", "b"}
-    assert stand_in(ORDER, owners=3, own="a", away=away) == ""
+    assert choose_standby(ORDER, owners=3, own="a", away=away) == ""
 
 
 def test_owners_that_all_leave_wake_one_daemon_each():
     away = {"a", "b", "c"}
-    woken = [stand_in(ORDER, owners=3, own=own, away=away) for own in "abc"]
+    woken = [choose_standby(ORDER, owners=3, own=own, away=away) for own in "abc"]
     assert sorted(woken) == ["d", "e", "f"]
 
 
 def test_a_daemon_that_owns_nothing_or_finds_nobody_wakes_nobody():
-    assert stand_in(ORDER, owners=3, own="e", away={"a", "b", "c"}) == ""
-    assert stand_in(ORDER, owners=3, own="a", away=set(ORDER)) == ""
+    assert choose_standby(ORDER, owners=3, own="e", away={"a", "b", "c"}) == ""
+    assert choose_standby(ORDER, owners=3, own="a", away=set(ORDER)) == ""
 
 
 def test_an_owner_has_to_try_when_others_could_not():
--- a/tests/sessions/test_drain.py
+++ b/tests/sessions/test_drain.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gypsum_platform.codec import read_statement
-from gypsum_policy.draining import plan_for
+from gypsum_policy.draining import make_drain_plan
 from gypsum_sessions.callers.drain import drain
 from gypsum_sessions.replies import Refusal, SessionState
 from tests.sessions.connected import connect
@@ -16,11 +16,13 @@
         rig = Rig()
         await rig.settle()
         links = [(await connect(rig.proxy))[1] for _ in range(20)]
-        plan = plan_for(6.0)
+        plan = make_drain_plan(6.0)
         began = rig.loop.time()
         await drain(rig.proxy, plan, lambda: None)
         closed = sorted(link.closed_at - began for link in links)
-        assert plan.notice <= closed[0] and closed[-1] <= plan.sessions + 0.1
+        assert (
+            plan.notice_end <= closed[0] and closed[-1] <= plan.close_sessions_by + 0.1
+        )
         assert closed[-1] - closed[0] > 0.3
 
     run(main())
@@ -32,7 +34,9 @@
         await rig.settle()
         stopped = []
         task = asyncio.create_task(
-            drain(rig.proxy, plan_for(6.0), lambda: stopped.append(rig.loop.time()))
+            drain(
+                rig.proxy, make_drain_plan(6.0), lambda: stopped.append(rig.loop.time())
+            )
         )
         await asyncio.sleep(1.0)
         assert not rig.proxy.ready
@@ -50,7 +54,7 @@
         rig = Rig()
         await rig.settle()
         caller, link = await connect(rig.proxy)
-        task = asyncio.create_task(drain(rig.proxy, plan_for(6.0), lambda: None))
+        task = asyncio.create_task(drain(rig.proxy, make_drain_plan(6.0), lambda: None))
         caller.statement("r1", read_statement("BEGIN"))
         caller.statement("r2", read_statement("WRITE a 1"))
         await asyncio.sleep(2.9)
@@ -76,7 +80,7 @@
         caller.statement("r1", read_statement("BEGIN"))
         caller.statement("r2", read_statement("WRITE a 1"))
         await asyncio.sleep(0.1)
-        task = asyncio.create_task(drain(rig.proxy, plan_for(6.0), lambda: None))
+        task = asyncio.create_task(drain(rig.proxy, make_drain_plan(6.0), lambda: None))
         await asyncio.sleep(4.8)
         caller.statement("r3", read_statement("WRITE b 2"))
         caller.statement("r4", read_statement("ROLLBACK"))
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gypsum_policy.draining import plan_for
+from gypsum_policy.draining import make_drain_plan
 from gypsum_sessions.callers.drain import drain
 from gypsum_sessions.daemons import following
 from gypsum_sessions.daemons.following import Following
@@ -343,7 +343,9 @@
         rig = FeedRig()
         await asyncio.sleep(SETTLED)
         leaving = next(p for p in rig.rig.proxies if p.daemons.watches())
-        draining = asyncio.create_task(drain(leaving, plan_for(6.0), lambda: None))
+        draining = asyncio.create_task(
+            drain(leaving, make_drain_plan(6.0), lambda: None)
+        )
         await asyncio.sleep(0.5)
         followed = {
             proxy.following.link.peer
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from gypsum_platform.codec import read_statement
-from gypsum_policy.draining import plan_for
+from gypsum_policy.draining import make_drain_plan
 from gypsum_sessions.callers.drain import drain
 from gypsum_sessions.replies import Refusal
 from tests.sessions.connected import connect
@@ -36,7 +36,7 @@
 
 def start_drain(proxy):
     """Tell a daemon to stop; the task ends when its process would."""
-    return asyncio.create_task(drain(proxy, plan_for(GRACE), lambda: None))
+    return asyncio.create_task(drain(proxy, make_drain_plan(GRACE), lambda: None))
 
 
 def restart(rig, proxy):
