--- a/packages/policy/gypsum_policy/membership.py
+++ b/packages/policy/gypsum_policy/membership.py
@@ -11,48 +11,51 @@
 
 # A daemon that could not be reached for this long is taken for gone, seconds: several
 # times a restart, and longer than a path between daemons is cut on most days.
-GONE_AFTER = 12.0
+DEAD_AFTER = 12.0
 # How often those that could not be reached are looked at, seconds.
-GONE_LOOK = 2.0
+DEAD_CHECK_INTERVAL = 2.0
 
 # Lost entries that the whole fleet writes again in a second: half of what a small store
 # takes, which also serves upstreams and operators.
-REWRITES_PER_S = 200.0
+REREGISTRATIONS_PER_S = 200.0
 # Every daemon learns that the store has returned from a copy within this, seconds: the
 # longest watch and its margin.
-RETURN_KNOWN_WITHIN = 5.0
+RESTORE_KNOWN_WITHIN = 5.0
 
 # A list to which nobody was added for this long is whole, seconds: machines start
 # within a third of a second, and a fleet of hundreds keeps the store busy for longer.
-SETTLED_AFTER = 2.0
+STABLE_AFTER = 2.0
 # ... or after this, seconds: in a fleet that grows all day somebody is always new.
-SETTLED_AT_MOST = 6.0
+STABILITY_TIMEOUT = 6.0
 
 
-def has_settled(*, rejoined, listed_for, unchanged_for):
+def is_list_stable(*, rejoined, listed_for, unchanged_for):
     """Tell whether the list of daemons can be gone by, times in seconds.
 
     `rejoined`: this daemon was listed before it started, so the others were too.
     """
-    if rejoined or unchanged_for >= SETTLED_AFTER:
+    if rejoined or unchanged_for >= STABLE_AFTER:
         return True
-    return listed_for >= SETTLED_AT_MOST
+    return listed_for >= STABILITY_TIMEOUT
 
 
-def rewrite_pause(daemons, draw):
-    """Seconds until a daemon writes its lost entry again; `draw` is from 0 to 1."""
-    return draw * daemons / REWRITES_PER_S
+def reregistration_delay(daemons, random_fraction):
+    """Seconds until a daemon writes its lost entry again.
+
+    `random_fraction` is from 0 to 1.
+    """
+    return random_fraction * daemons / REREGISTRATIONS_PER_S
 
 
-def missing_for(daemons):
+def missing_grace_period(daemons):
     """Seconds for which a daemon that a whole list lacks keeps its place.
 
     If the store has lost all entries each daemon would otherwise be the only one known,
     own every group and open connections to all upstreams.
     """
-    return RETURN_KNOWN_WITHIN + rewrite_pause(daemons, 1.0)
+    return RESTORE_KNOWN_WITHIN + reregistration_delay(daemons, 1.0)
 
 
-def may_be_gone(silent_for):
+def may_be_dead(silent_for):
     """Tell whether a daemon is asked one last time before its entry is removed."""
-    return silent_for >= GONE_AFTER
+    return silent_for >= DEAD_AFTER
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsum_policy.membership import missing_for
+from gypsum_policy.membership import missing_grace_period
 from gypsum_policy.relays import FEW_DAEMONS
 from gypsum_sessions.borders import LeaseError
 from gypsum_sessions.callers.requestlog import RequestLog
@@ -216,7 +216,7 @@
 
     def drop_missing(self):
         """One look at daemons that the list lacks: drop those that stay away."""
-        looks = round(missing_for(len(self.daemons.known)) / TEND_EVERY)
+        looks = round(missing_grace_period(len(self.daemons.known)) / TEND_EVERY)
         for name in self.daemons.expire(looks):
             self.log(PART, "daemon not listed any more", peer=name)
             self.drop_daemon(name)
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -1,6 +1,6 @@
 """The groups that this daemon holds connections to, and its way to all others."""
 
-from gypsum_policy.membership import has_settled
+from gypsum_policy.membership import is_list_stable
 from gypsum_sessions.callers.access import LocalAccess
 from gypsum_sessions.daemons.remote import RemoteAccess
 from gypsum_sessions.takeover.attempt import Takeover
@@ -56,7 +56,7 @@
         if known > self.fleet:
             self.grown_at = now
         self.fleet = known
-        self.settled = has_settled(
+        self.settled = is_list_stable(
             rejoined=self.proxy.daemons.rejoined,
             listed_for=now - self.listed_at,
             unchanged_for=now - self.grown_at,
--- a/tests/sessions/test_fleet_store_return.py
+++ b/tests/sessions/test_fleet_store_return.py
@@ -6,14 +6,18 @@
 
 from gypsum_platform.leases import OWN_KIND
 from gypsum_platform.takers import DAEMON_PREFIX, LINK_KEY
-from gypsum_policy.membership import REWRITES_PER_S, missing_for, rewrite_pause
+from gypsum_policy.membership import (
+    REREGISTRATIONS_PER_S,
+    missing_grace_period,
+    reregistration_delay,
+)
 from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
 from tests.sessions.fleetrig import FleetRig
 from tests.sessions.vclock import run
 
 SETTLED = 10.0
 # Entries that are written in any second at most, twice the rate that they aim at.
-MOST_WRITES = 2 * REWRITES_PER_S
+MOST_WRITES = 2 * REREGISTRATIONS_PER_S
 
 
 async def lose_all_entries(rig):
@@ -83,5 +87,5 @@
 
 
 def test_a_large_fleet_writes_for_as_long_as_its_daemons_keep_their_places():
-    assert rewrite_pause(4000, 1.0) == 4000 / REWRITES_PER_S
-    assert missing_for(4000) > rewrite_pause(4000, 1.0)
+    assert reregistration_delay(4000, 1.0) == 4000 / REREGISTRATIONS_PER_S
+    assert missing_grace_period(4000) > reregistration_delay(4000, 1.0)
