--- a/packages/policy/gypsum_policy/ownership.py
+++ b/packages/policy/gypsum_policy/ownership.py
@@ -17,30 +17,30 @@
 
 # Up to this many daemons each hold connections of their own: a statement saves the hop
 # to an owner, and a daemon that fails harms its own callers only.
-FEW_DAEMONS = 12
+ALL_OWN_UP_TO = 12
 # Connections that an owner has to have to one upstream, at least: one for callers and
 # one for the proofs on which they wait.
-LEAST_CONNECTIONS = 2
+MIN_CONNECTIONS = 2
 # After its start an owner may hold one connection more each time this has passed,
 # seconds: upstreams count lost connections for three seconds.
-GROWS_EVERY = 0.75
+GROWTH_INTERVAL = 0.75
 # Connections to one upstream that an owner works well with: an upstream works on three
 # to six statements at once, and transactions hold theirs while their callers pause.
-OWNER_CONNECTIONS = 8
+CONNECTIONS_PER_OWNER = 8
 # Owners of all groups to which a daemon keeps links before it needs them: a link takes
 # some 25 kB at each end, and where there are more most are never needed.
-MOST_WARM = 32
+MAX_WARM_LINKS = 32
 # Owners of a group, at least: the loss of one leaves two.
-LEAST_OWNERS = 3
+MIN_OWNERS = 3
 # Owners that may hand a statement on to the next, before one has to try: each costs two
 # milliseconds, and when all have just started all would.
-MOST_UNABLE = 2
+MAX_HANDOFFS = 2
 # An owner that has lost the primary for longer than this hands work on, seconds: a late
 # proof has come by then.
-LOST_FOR = 0.25
+PRIMARY_LOSS_TOLERANCE = 0.25
 # Owners that are compared by how fast they answer: one that is not known is asked,
 # which takes a link; when all are slow every daemon would open one to each of them.
-LOOKED_AT = 3
+COMPARED_OWNERS = 3
 
 
 def owner_count(daemons, max_connections):
@@ -48,14 +48,14 @@
 
     `max_connections` is what one upstream takes of all daemons together.
     """
-    if daemons <= FEW_DAEMONS and may_share(daemons, max_connections):
+    if daemons <= ALL_OWN_UP_TO and can_share_equally(daemons, max_connections):
         return daemons
-    return min(daemons, max(LEAST_OWNERS, max_connections // OWNER_CONNECTIONS))
+    return min(daemons, max(MIN_OWNERS, max_connections // CONNECTIONS_PER_OWNER))
 
 
-def may_share(daemons, max_connections):
+def can_share_equally(daemons, max_connections):
     """Tell whether every daemon can have its least share, with one left over."""
-    return max_connections // (daemons + 1) >= LEAST_CONNECTIONS
+    return max_connections // (daemons + 1) >= MIN_CONNECTIONS
 
 
 def connection_share(owners, max_connections):
@@ -64,7 +64,7 @@
     One share is left over, for proofs of the leader and for an owner that replaces
     another before it is gone.
     """
-    return max(LEAST_CONNECTIONS, max_connections // (owners + 1))
+    return max(MIN_CONNECTIONS, max_connections // (owners + 1))
 
 
 def share_after_start(share, since_start):
@@ -75,33 +75,33 @@
     and the last can't ask who leads. With the least for long, transactions that pause
     hold what there is, and all others wait, at upstreams that have room.
     """
-    grown = LEAST_CONNECTIONS + int(since_start / GROWS_EVERY)
-    return min(share, max(LEAST_CONNECTIONS, grown))
+    grown = MIN_CONNECTIONS + int(since_start / GROWTH_INTERVAL)
+    return min(share, max(MIN_CONNECTIONS, grown))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OwnerView:
     """An owner of a group as one daemon sees it.
 
-    `place` is its place in the group's order of daemons, `avoided` that it did not
-    answer a moment ago or said that it leaves, `expected` the seconds that its answers
-    take, None if that is not known.
+    `rank` is its place in the group's order of daemons, `avoided` that it did not
+    answer a moment ago or said that it leaves, `expected_latency` the seconds that
+    its answers take, None if that is not known.
     """
 
     name: str
-    place: int
+    rank: int
     far: bool
     avoided: bool
-    expected: float | None = None
+    expected_latency: float | None = None
 
 
-def is_last_resort(*, asked_all, leaves, unable):
+def is_last_resort(*, asked_all, leaving, unable):
     """Tell whether an owner has to try although it leaves or has just started.
 
-    `asked_all`: all were asked once and none could. `leaves`: it said that it leaves,
+    `asked_all`: all were asked once and none could. `leaving`: it said that it leaves,
     so that those that stay were asked before it. `unable` owners have handed it on.
     """
-    return asked_all or leaves or unable >= MOST_UNABLE
+    return asked_all or leaving or unable >= MAX_HANDOFFS
 
 
 def owners_to_ask(views, *, owners, daemon, workspace=""):
@@ -117,17 +117,17 @@
     serve all of them in turn, and most statements wait for a new one.
     """
 
-    def rank(view):
-        stands_in = view.place >= owners
+    def sort_key(view):
+        stands_in = view.rank >= owners
         if workspace:
             turn = xxh64_intdigest(f"{workspace}/{view.name}".encode())
             return (view.avoided, stands_in, turn)
         turn = xxh64_intdigest(f"{daemon}/{view.name}".encode())
         return (view.avoided, stands_in, view.name != daemon, view.far, turn)
 
-    order = sorted(views, key=rank)
-    best = fastest(order[:LOOKED_AT], owners)
-    if best is not None and lags(order[0].expected, best.expected):
+    order = sorted(views, key=sort_key)
+    best = fastest(order[:COMPARED_OWNERS], owners)
+    if best is not None and lags(order[0].expected_latency, best.expected_latency):
         order.remove(best)
         order.insert(0, best)
     return [view.name for view in order]
@@ -135,5 +135,7 @@
 
 def fastest(views, owners):
     """The owner whose answers take least; one that nobody knows counts as usual."""
-    able = [view for view in views if not view.avoided and view.place < owners]
-    return min(able, key=lambda view: view.expected or TYPICAL, default=None)
+    candidates = [view for view in views if not view.avoided and view.rank < owners]
+    return min(
+        candidates, key=lambda view: view.expected_latency or TYPICAL, default=None
+    )
--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -315,10 +315,10 @@
         views = [
             OwnerView(
                 name=name,
-                place=place,
+                rank=place,
                 far=self.daemons.get(name).domain != own.domain,
                 avoided=self.avoided(name),
-                expected=self.expected(name, group),
+                expected_latency=self.expected(name, group),
             )
             for place, name in enumerate(names)
             if name != own.id
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -111,7 +111,7 @@
     def last_resort(self, name, asked_all, unable):
         """Tell whether an owner has to try although it leaves or has just started."""
         leaves = self.peers.leaves(name)
-        return is_last_resort(asked_all=asked_all, leaves=leaves, unable=unable)
+        return is_last_resort(asked_all=asked_all, leaving=leaves, unable=unable)
 
     def owners(self, workspace=""):
         """Names of the owners to ask for a workspace's work, the best first."""
--- a/packages/sessions/gypsum_sessions/daemons/warmlinks.py
+++ b/packages/sessions/gypsum_sessions/daemons/warmlinks.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from gypsum_policy.ownership import MOST_WARM
+from gypsum_policy.ownership import MAX_WARM_LINKS
 from gypsum_sessions.daemons.peers import PeerLost
 
 # Seconds between two looks; one link is opened at each, so that owners that have just
@@ -30,12 +30,12 @@
     def missing(self):
         """Owners to which there is no link; none where the owners are many."""
         groups = self.catalog.current.groups if self.catalog.current else {}
-        if len(groups) > MOST_WARM:
+        if len(groups) > MAX_WARM_LINKS:
             return []
         owners = {
             name for spec in groups.values() for name in self.daemons.owners(spec)
         }
-        if len(owners) > MOST_WARM:
+        if len(owners) > MAX_WARM_LINKS:
             return []
         return sorted(
             name
--- a/tests/policy/test_draining.py
+++ b/tests/policy/test_draining.py
@@ -9,7 +9,7 @@
     make_drain_plan,
     session_share_to_close,
 )
-from gypsum_policy.ownership import MOST_UNABLE, is_last_resort
+from gypsum_policy.ownership import MAX_HANDOFFS, is_last_resort
 
 GRACE = 6.0
 PLAN = make_drain_plan(GRACE)
@@ -85,7 +85,7 @@
     Sequence: all owners have just started, each hands statements on to the next. Cause:
     none of them had proven a primary yet, and none had to try.
     """
-    assert not is_last_resort(asked_all=False, leaves=False, unable=MOST_UNABLE - 1)
-    assert is_last_resort(asked_all=False, leaves=False, unable=MOST_UNABLE)
-    assert is_last_resort(asked_all=True, leaves=False, unable=0)
-    assert is_last_resort(asked_all=False, leaves=True, unable=0)
+    assert not is_last_resort(asked_all=False, leaving=False, unable=MAX_HANDOFFS - 1)
+    assert is_last_resort(asked_all=False, leaving=False, unable=MAX_HANDOFFS)
+    assert is_last_resort(asked_all=True, leaving=False, unable=0)
+    assert is_last_resort(asked_all=False, leaving=True, unable=0)
--- a/tests/policy/test_ownership.py
+++ b/tests/policy/test_ownership.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 
 from gypsum_policy.ownership import (
-    LEAST_CONNECTIONS,
-    LEAST_OWNERS,
+    MIN_CONNECTIONS,
+    MIN_OWNERS,
     OwnerView,
     connection_share,
     owner_count,
@@ -14,9 +14,9 @@
 )
 
 
-def view(name, place=0, *, far=False, avoided=False):
+def view(name, rank=0, *, far=False, avoided=False):
     """An owner as seen from somewhere."""
-    return OwnerView(name=name, place=place, far=far, avoided=avoided)
+    return OwnerView(name=name, rank=rank, far=far, avoided=avoided)
 
 
 def test_a_few_daemons_all_hold_connections():
@@ -36,7 +36,7 @@
 
 
 def test_a_few_daemons_that_cannot_share_leave_the_connections_to_some():
-    assert owner_count(9, 12) == LEAST_OWNERS
+    assert owner_count(9, 12) == MIN_OWNERS
 
 
 @given(daemons=st.integers(1, 4000), limit=st.integers(9, 500))
@@ -44,12 +44,12 @@
     owners = owner_count(daemons, limit)
     share = connection_share(owners, limit)
     assert 1 <= owners <= daemons
-    assert share >= LEAST_CONNECTIONS
-    assert share == LEAST_CONNECTIONS or share * (owners + 1) <= limit
+    assert share >= MIN_CONNECTIONS
+    assert share == MIN_CONNECTIONS or share * (owners + 1) <= limit
 
 
 def test_a_daemon_that_owns_asks_itself():
-    views = [view("a"), view("me", place=1, far=True)]
+    views = [view("a"), view("me", rank=1, far=True)]
     assert owners_to_ask(views, owners=2, daemon="me")[0] == "me"
 
 
@@ -110,7 +110,7 @@
     that pause hold both. Cause: nothing but the time decided.
     """
     shares = [share_after_start(7, seconds) for seconds in (0.0, 1.0, 2.0, 60.0)]
-    assert shares[0] == LEAST_CONNECTIONS
+    assert shares[0] == MIN_CONNECTIONS
     assert shares == sorted(shares)
-    assert shares[2] > LEAST_CONNECTIONS + 1
+    assert shares[2] > MIN_CONNECTIONS + 1
     assert shares[3] == 7
--- a/tests/policy/test_pace.py
+++ b/tests/policy/test_pace.py
@@ -4,9 +4,9 @@
 from gypsum_policy.pace import FORGET_AFTER, TYPICAL, Pace, lags
 
 
-def view(name, place=0, **more):
+def view(name, rank=0, **more):
     """An owner as seen from somewhere."""
-    return OwnerView(name=name, place=place, far=False, avoided=False, **more)
+    return OwnerView(name=name, rank=rank, far=False, avoided=False, **more)
 
 
 def pace(*seconds):
@@ -57,10 +57,12 @@
 
 def test_an_owner_that_lags_is_asked_after_the_next():
     names = owners_to_ask([view("a"), view("b")], owners=2, daemon="me")
-    slow = [view(name, expected=1.0 if name == names[0] else None) for name in names]
+    slow = [
+        view(name, expected_latency=1.0 if name == names[0] else None) for name in names
+    ]
     assert owners_to_ask(slow, owners=2, daemon="me") == names[::-1]
 
 
 def test_nobody_who_owns_nothing_is_asked_for_an_owner_that_lags():
-    views = [view("owner", expected=1.0), view("next", 1)]
+    views = [view("owner", expected_latency=1.0), view("next", 1)]
     assert owners_to_ask(views, owners=1, daemon="me") == ["owner", "next"]
--- a/tests/sessions/test_pool.py
+++ b/tests/sessions/test_pool.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gypsum_policy.ownership import LEAST_CONNECTIONS
+from gypsum_policy.ownership import MIN_CONNECTIONS
 from gypsum_sessions.replies import (
     UpstreamError,
     UpstreamLost,
@@ -295,11 +295,11 @@
         tuning = rig.proxy.tuning
         rig.proxy.keep_running(rig.proxy.tend)
         pool = group.upstreams["u1"].pool
-        assert pool.limit == LEAST_CONNECTIONS
+        assert pool.limit == MIN_CONNECTIONS
         held = [await pool.acquire(values={}, timeout=1.0) for _ in range(pool.limit)]
         waiting = asyncio.create_task(pool.acquire(values={}, timeout=9.0))
         await asyncio.sleep(tuning.modest_for + 0.5)
-        assert pool.limit > LEAST_CONNECTIONS
+        assert pool.limit > MIN_CONNECTIONS
         for pooled in (*held, await waiting):
             pool.release(pooled)
 
--- a/tests/sessions/test_warm_links.py
+++ b/tests/sessions/test_warm_links.py
@@ -32,7 +32,7 @@
 
 def test_where_owners_are_many_links_are_opened_by_use(monkeypatch):
     async def main():
-        monkeypatch.setattr(warmlinks, "MOST_WARM", 2)
+        monkeypatch.setattr(warmlinks, "MAX_WARM_LINKS", 2)
         rig = await owners_rig()
         assert all(proxy.warm_links.missing() == [] for proxy in rig.proxies)
 
