--- a/packages/policy/gypsum_policy/ownership.py
+++ b/packages/policy/gypsum_policy/ownership.py
@@ -13,7 +13,7 @@
 
 from xxhash import xxh64_intdigest
 
-from gypsum_policy.pace import TYPICAL, lags
+from gypsum_policy.latency import TYPICAL, lags
 
 # Up to this many daemons each hold connections of their own: a statement saves the hop
 # to an owner, and a daemon that fails harms its own callers only.
--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from gypsum_policy.latency import Pace
 from gypsum_policy.ownership import OwnerView, owners_to_ask
-from gypsum_policy.pace import Pace
 from gypsum_sessions.daemons.asks import (
     Answer,
     Current,
--- a/tests/policy/test_pace.py
+++ b/tests/policy/test_latency.py
@@ -1,7 +1,7 @@
 """How long owners' answers take, and when another one is asked first."""
 
+from gypsum_policy.latency import FORGET_AFTER, TYPICAL, Pace, lags
 from gypsum_policy.ownership import OwnerView, owners_to_ask
-from gypsum_policy.pace import FORGET_AFTER, TYPICAL, Pace, lags
 
 
 def view(name, rank=0, **more):
