--- a/packages/policy/gypsum_policy/latency.py
+++ b/packages/policy/gypsum_policy/latency.py
@@ -12,59 +12,59 @@
 from itertools import islice
 
 # Weight of the newest answer: three slow ones in a row say enough.
-WEIGHT = 0.3
+NEWEST_WEIGHT = 0.3
 # What is not asked any more may have become fast again: it is forgotten after this,
 # seconds, and tried by a few statements. Machines are slow for six seconds and more.
 FORGET_AFTER = 8.0
 # An answer of an owner that we know nothing of, seconds: the workloads' mean and a hop.
-TYPICAL = 0.06
+DEFAULT_LATENCY = 0.06
 # An owner lags when its answers take this many times as long as another one's, and this
 # much more, seconds: slow upstreams and long statements spread them by a factor of two.
-LAG_FACTOR = 3.0
-LAG_MARGIN = 0.1
+SLOW_FACTOR = 3.0
+SLOW_MARGIN = 0.1
 
 
-class Pace:
+class LatencyTracker:
     """One owner's answers in one group; times on the caller's clock, seconds."""
 
     def __init__(self):
         self.mean = None
-        self.noted_at = float("-inf")
-        self.waiting = {}
+        self.recorded_at = float("-inf")
+        self.pending = {}
 
-    def asked(self, number, now):
+    def start_request(self, request_id, now):
         """A question is on its way."""
-        self.waiting[number] = now
+        self.pending[request_id] = now
 
-    def over(self, number):
+    def finish_request(self, request_id):
         """It is not waited for any more."""
-        self.waiting.pop(number, None)
+        self.pending.pop(request_id, None)
 
-    def note(self, seconds, now):
+    def record(self, seconds, now):
         """An answer took so long, or would have."""
-        if self.mean is None or now - self.noted_at > FORGET_AFTER:
+        if self.mean is None or now - self.recorded_at > FORGET_AFTER:
             self.mean = seconds
         else:
-            self.mean += WEIGHT * (seconds - self.mean)
-        self.noted_at = now
+            self.mean += NEWEST_WEIGHT * (seconds - self.mean)
+        self.recorded_at = now
 
-    def expected(self, now):
+    def estimate(self, now):
         """Seconds that an answer takes; None if nothing is known of late.
 
         The second oldest question that waits counts too: an owner that is slow by
         seconds tells of it with no answer, and a single question may be slow by itself.
         """
-        known = self.mean if now - self.noted_at <= FORGET_AFTER else None
-        second = next(islice(self.waiting.values(), 1, None), None)
+        known = self.mean if now - self.recorded_at <= FORGET_AFTER else None
+        second = next(islice(self.pending.values(), 1, None), None)
         if second is None:
             return known
         return max(known or 0.0, now - second)
 
 
-def lags(own, other):
+def is_slower(own, other):
     """Tell whether an owner is so slow that the next one should be asked first.
 
     Both are seconds that an answer takes, None where nothing is known.
     """
-    own, other = (TYPICAL if each is None else each for each in (own, other))
-    return own > LAG_FACTOR * other + LAG_MARGIN
+    own, other = (DEFAULT_LATENCY if each is None else each for each in (own, other))
+    return own > SLOW_FACTOR * other + SLOW_MARGIN
--- a/packages/policy/gypsum_policy/ownership.py
+++ b/packages/policy/gypsum_policy/ownership.py
@@ -13,7 +13,7 @@
 
 from xxhash import xxh64_intdigest
 
-from gypsum_policy.latency import TYPICAL, lags
+from gypsum_policy.latency import DEFAULT_LATENCY, is_slower
 
 # Up to this many daemons each hold connections of their own: a statement saves the hop
 # to an owner, and a daemon that fails harms its own callers only.
@@ -127,7 +127,7 @@
 
     order = sorted(views, key=sort_key)
     best = fastest(order[:COMPARED_OWNERS], owners)
-    if best is not None and lags(order[0].expected_latency, best.expected_latency):
+    if best is not None and is_slower(order[0].expected_latency, best.expected_latency):
         order.remove(best)
         order.insert(0, best)
     return [view.name for view in order]
@@ -137,5 +137,7 @@
     """The owner whose answers take least; one that nobody knows counts as usual."""
     candidates = [view for view in views if not view.avoided and view.rank < owners]
     return min(
-        candidates, key=lambda view: view.expected_latency or TYPICAL, default=None
+        candidates,
+        key=lambda view: view.expected_latency or DEFAULT_LATENCY,
+        default=None,
     )
--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from gypsum_policy.latency import Pace
+from gypsum_policy.latency import LatencyTracker
 from gypsum_policy.ownership import OwnerView, owners_to_ask
 from gypsum_sessions.daemons.asks import (
     Answer,
@@ -174,19 +174,19 @@
         have taken; without one the time that was waited counts.
         """
         began, token = self.clock(), object()
-        pace.asked(token, began)
+        pace.start_request(token, began)
         try:
             answer = await self.ask(make, timeout=timeout)
         except PeerLost as exc:
             if exc.sent:
-                pace.note(self.clock() - began, self.clock())
+                pace.record(self.clock() - began, self.clock())
             raise
         finally:
-            pace.over(token)
+            pace.finish_request(token)
         if answer.reply.ok:
-            pace.note(self.clock() - began, self.clock())
+            pace.record(self.clock() - began, self.clock())
         elif answer.queue:
-            pace.note(answer.queue, self.clock())
+            pace.record(answer.queue, self.clock())
         return answer
 
     async def try_out(self):
@@ -300,11 +300,11 @@
     def expected(self, name, group):
         """Seconds that a daemon's answers take in a group; None if not known."""
         pace = self.paces.get((name, group))
-        return pace.expected(self.clock()) if pace is not None else None
+        return pace.estimate(self.clock()) if pace is not None else None
 
     def pace(self, name, group):
         """How fast a daemon answers in a group; it outlives the link."""
-        return self.paces.setdefault((name, group), Pace())
+        return self.paces.setdefault((name, group), LatencyTracker())
 
     def in_turn(self, names, owners, group="", workspace=""):
         """Other daemons of a group's order in the turn in which we ask them.
