--- a/packages/sessions/gypsum_sessions/daemons/following.py
+++ b/packages/sessions/gypsum_sessions/daemons/following.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 
 from gypsum_policy.relays import (
-    FETCH_AGAIN,
-    SILENT_AFTER,
-    USELESS_AFTER,
-    USELESS_FOR,
-    continues,
+    DISCONNECTED_WATCHER_TIMEOUT,
+    LIST_RETRY_AFTER,
+    WATCHER_RETRY_AFTER,
+    WATCHER_TIMEOUT,
+    is_contiguous,
     is_current,
 )
 from gypsum_policy.revisions import era_of, label, same_era
@@ -125,7 +125,7 @@
 
     def current(self, name):
         """Tell whether this daemon has all that a watcher in touch knows of a feed."""
-        if self.link is None or self.clock() - self.heard_at > SILENT_AFTER:
+        if self.link is None or self.clock() - self.heard_at > WATCHER_TIMEOUT:
             return False
         feed = self.feed(name)
         return feed.confirmed is not None and not feed.behind
@@ -171,10 +171,10 @@
                 return news
             if not self.current(name) or (until is not None and loop.time() >= until):
                 return None
-            left = SILENT_AFTER if until is None else until - loop.time()
+            left = WATCHER_TIMEOUT if until is None else until - loop.time()
             event = self.changed
             try:
-                async with asyncio.timeout(min(SILENT_AFTER, left)):
+                async with asyncio.timeout(min(WATCHER_TIMEOUT, left)):
                     await event.wait()
             except TimeoutError:
                 continue
@@ -201,7 +201,11 @@
     def fetch(self, name):
         """Ask the watcher for a feed's whole list, unless it is on its way."""
         feed, now = self.feed(name), self.clock()
-        if self.link is None or not feed.behind or now - feed.asked_at < FETCH_AGAIN:
+        if (
+            self.link is None
+            or not feed.behind
+            or now - feed.asked_at < LIST_RETRY_AFTER
+        ):
             return
         feed.asked_at = now
         feed.pieces.clear()
@@ -276,13 +280,13 @@
                 self.leave()
                 await self.choose()
             elif self.useless():
-                self.useless_until[self.link.peer] = self.clock() + USELESS_FOR
+                self.useless_until[self.link.peer] = self.clock() + WATCHER_RETRY_AFTER
                 self.leave()
                 await self.choose()
 
     def silent(self):
         """Tell whether the watcher is gone or has not been heard of."""
-        return not self.link.usable or self.clock() - self.heard_at > SILENT_AFTER
+        return not self.link.usable or self.clock() - self.heard_at > WATCHER_TIMEOUT
 
     def useless(self):
         """Tell whether the watcher is not in touch for a feed that is needed of it.
@@ -294,7 +298,7 @@
         """
         if not self.is_watcher:
             return True
-        if self.clock() - self.chosen_at < USELESS_AFTER:
+        if self.clock() - self.chosen_at < DISCONNECTED_WATCHER_TIMEOUT:
             return False
         watches = self.daemons.watches()
         needed = [feed for feed in self.feeds.values() if feed.lost or not watches]
@@ -375,7 +379,7 @@
     """Tell whether news can be taken in by who knows their feed up to a revision."""
     if news.whole:
         return news.revision > known
-    return continues(known, news.since, news.revision)
+    return is_contiguous(known, news.since, news.revision)
 
 
 def progress(name, feed):
--- a/packages/sessions/gypsum_sessions/daemons/registry.py
+++ b/packages/sessions/gypsum_sessions/daemons/registry.py
@@ -4,7 +4,7 @@
 
 from gypsum_core.placement import Placement
 from gypsum_policy.ownership import connection_share, owner_count
-from gypsum_policy.relays import FEW_DAEMONS, watcher_count
+from gypsum_policy.relays import ALL_WATCH_UP_TO, watcher_count
 
 # The watchers' place in the order of daemons; no group has such a name.
 WATCHERS = "\x00watchers"
@@ -31,7 +31,7 @@
     the owner of everything.
     """
 
-    def __init__(self, *, own, all_watch_up_to=FEW_DAEMONS):
+    def __init__(self, *, own, all_watch_up_to=ALL_WATCH_UP_TO):
         self.own = own
         self.all_watch_up_to = all_watch_up_to
         self.listed = False
--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -6,7 +6,12 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from gypsum_policy.relays import BEAT_EVERY, MOST_BYTES, PIECE_BYTES, PIECE_PAUSE
+from gypsum_policy.relays import (
+    BACKLOG_POLL_INTERVAL,
+    CHUNK_BYTES,
+    HEARTBEAT_INTERVAL,
+    MAX_CHANGE_BYTES,
+)
 from gypsum_policy.revisions import same_era
 from gypsum_sessions.daemons.asks import Current, FeedState, News, Piece, encode
 from gypsum_sessions.daemons.packing import pack
@@ -126,7 +131,7 @@
         if not self.followers:
             return
         data = encode(news)
-        if len(data) > MOST_BYTES:
+        if len(data) > MAX_CHANGE_BYTES:
             data = encode(self.current())
         self.send_all(data)
 
@@ -147,7 +152,7 @@
                 feed=name, revision=feed.revision, whole=True, changed=feed.objects
             )
             data = encode(whole)
-            if len(data) <= MOST_BYTES:
+            if len(data) <= MAX_CHANGE_BYTES:
                 desk.frames.send(data)
         desk.frames.send(encode(self.current()))
 
@@ -187,8 +192,8 @@
             return True
         since = feed.since
         for piece in self.packed(name, feed):
-            while desk.frames.backlog > PIECE_BYTES:
-                await asyncio.sleep(PIECE_PAUSE)
+            while desk.frames.backlog > CHUNK_BYTES:
+                await asyncio.sleep(BACKLOG_POLL_INTERVAL)
             if desk.closed or desk not in self.followers:
                 return True
             if feed.since != since:
@@ -215,6 +220,6 @@
     async def run(self):
         """Say which feeds are in touch, for ever."""
         while True:
-            await asyncio.sleep(BEAT_EVERY)
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
             if self.followers:
                 self.send_all(encode(self.current()))
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gypsum_policy.membership import missing_grace_period
-from gypsum_policy.relays import FEW_DAEMONS
+from gypsum_policy.relays import ALL_WATCH_UP_TO
 from gypsum_sessions.borders import LeaseError
 from gypsum_sessions.callers.requestlog import RequestLog
 from gypsum_sessions.callers.session import Session
@@ -73,7 +73,7 @@
         observe,
         links=None,
         link_address="",
-        all_watch_up_to=FEW_DAEMONS,
+        all_watch_up_to=ALL_WATCH_UP_TO,
     ):
         self.name = name
         self.clock = clock
--- a/packages/sessions/gypsum_sessions/settings.py
+++ b/packages/sessions/gypsum_sessions/settings.py
@@ -9,7 +9,7 @@
 from msgspec import DecodeError, Meta, Struct, ValidationError
 from msgspec.json import decode
 
-from gypsum_policy.relays import FEW_DAEMONS
+from gypsum_policy.relays import ALL_WATCH_UP_TO
 
 Address = Annotated[str, Meta(pattern=r"^[^:\s]+:\d+$")]
 Seconds = Annotated[float, Meta(gt=0)]
@@ -42,7 +42,7 @@
     upstream_drain_seconds: Seconds = 7.0
     metrics_port: Port = 0
     advertised_links: Address | Literal[""] = ""
-    all_watch_up_to: Annotated[int, Meta(ge=0)] = FEW_DAEMONS
+    all_watch_up_to: Annotated[int, Meta(ge=0)] = ALL_WATCH_UP_TO
 
     @property
     def links(self):
--- a/tests/policy/test_revisions.py
+++ b/tests/policy/test_revisions.py
@@ -1,6 +1,6 @@
 """Revisions over returns of the store from older copies."""
 
-from gypsum_policy.relays import continues
+from gypsum_policy.relays import is_contiguous
 from gypsum_policy.revisions import (
     MOST_NUMBER,
     era_of,
@@ -29,5 +29,5 @@
 def test_nothing_follows_on_an_earlier_history():
     """Guards against taking changes of a new history as the next of a lost one."""
     known, since = in_era(1, 93), in_era(1, 90)
-    assert continues(known, since, in_era(1, 94))
-    assert not continues(known, since, in_era(2, 91))
+    assert is_contiguous(known, since, in_era(1, 94))
+    assert not is_contiguous(known, since, in_era(2, 91))
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from gypsum_platform.codec import read_statement
-from gypsum_policy.relays import FEW_DAEMONS
+from gypsum_policy.relays import ALL_WATCH_UP_TO
 from gypsum_sessions.borders import LeaseError, PromoteOutcome, PromotionLease
 from gypsum_sessions.callers.keys import digest_of
 from gypsum_sessions.catalog import (
@@ -161,7 +161,7 @@
         tuning=DEFAULT_SESSION_TUNING,
         version=1,
         max_connections=34,
-        all_watch_up_to=FEW_DAEMONS,
+        all_watch_up_to=ALL_WATCH_UP_TO,
         keys=None,
         caps=None,
     ):
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -311,7 +311,7 @@
 
 BREAKS = {
     "everybody is current": (following, "is_current", always),
-    "gaps are overlooked": (following, "continues", always),
+    "gaps are overlooked": (following, "is_contiguous", always),
     "nobody asks for whole lists": (Following, "fetch", never),
     "who has nothing to tell is followed on": (Following, "useless", never),
     "watchers follow nobody": (Following, "store_lost", never),
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -6,10 +6,10 @@
 import pytest
 
 from gypsum_policy.relays import (
-    MOST_BYTES,
-    PIECE_BYTES,
-    SILENT_AFTER,
-    continues,
+    CHUNK_BYTES,
+    MAX_CHANGE_BYTES,
+    WATCHER_TIMEOUT,
+    is_contiguous,
     is_current,
     watcher_count,
 )
@@ -109,7 +109,7 @@
         rig, follower, _ = await make_rig()
         first = followed(rig, follower)
         rig.links.freeze(first.name)
-        await asyncio.sleep(SILENT_AFTER + 0.1)
+        await asyncio.sleep(WATCHER_TIMEOUT + 0.1)
         assert not follower.following.current(FEED)
         await asyncio.sleep(1.5)
         assert follower.following.current(FEED)
@@ -183,7 +183,7 @@
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
-        watcher.relay.take_changes(FEED, {"b": {"x": "y" * MOST_BYTES}}, [], 11)
+        watcher.relay.take_changes(FEED, {"b": {"x": "y" * MAX_CHANGE_BYTES}}, [], 11)
         await asyncio.sleep(0.1)
         assert not follower.following.current(FEED)
         assert await follower.following.next(FEED) is None
@@ -212,7 +212,7 @@
     objects = objects_of(2000)
     pieces = pack(objects)
     assert len(pieces) > 1
-    assert max(map(len, pieces)) <= PIECE_BYTES
+    assert max(map(len, pieces)) <= CHUNK_BYTES
     assert unpack(pieces) == objects
 
 
@@ -229,10 +229,10 @@
 
 
 def test_changes_continue_what_reaches_their_beginning():
-    assert continues(known=12, since=10, revision=15)
-    assert continues(known=10, since=10, revision=15)
-    assert not continues(known=9, since=10, revision=15)
-    assert not continues(known=15, since=10, revision=15)
+    assert is_contiguous(known=12, since=10, revision=15)
+    assert is_contiguous(known=10, since=10, revision=15)
+    assert not is_contiguous(known=9, since=10, revision=15)
+    assert not is_contiguous(known=15, since=10, revision=15)
 
 
 def test_what_a_watcher_sent_that_was_left_does_not_count():
