--- a/packages/policy/gypsum_policy/revisions.py
+++ b/packages/policy/gypsum_policy/revisions.py
@@ -16,12 +16,12 @@
 # A thousand changes a second use these bits up in 34 years. JSON's numbers are exact up
 # to 53 bits, which leaves 13 for eras.
 NUMBER_BITS = 40
-MOST_NUMBER = (1 << NUMBER_BITS) - 1
+MAX_NUMBER = (1 << NUMBER_BITS) - 1
 # Messages between daemons carry signed integers of 64 bits.
-MOST_ERA = (1 << (63 - NUMBER_BITS)) - 1
+MAX_ERA = (1 << (63 - NUMBER_BITS)) - 1
 
 
-def in_era(era, number):
+def make_revision(era, number):
     """The revision that the store calls by a number in an era."""
     return era << NUMBER_BITS | number
 
@@ -33,7 +33,7 @@
 
 def number_of(revision):
     """What the store calls a revision."""
-    return revision & MOST_NUMBER
+    return revision & MAX_NUMBER
 
 
 def same_era(revision, other):
@@ -50,7 +50,7 @@
     return max(last + 1, era << TOKEN_BITS)
 
 
-def label(revision):
+def format_revision(revision):
     """A revision as logs show it: `era/number`, or the number where there is no era."""
     era, number = era_of(revision), number_of(revision)
     return f"{era}/{number}" if era else number
--- a/packages/sessions/gypsum_sessions/daemons/following.py
+++ b/packages/sessions/gypsum_sessions/daemons/following.py
@@ -14,7 +14,7 @@
     is_contiguous,
     is_current,
 )
-from gypsum_policy.revisions import era_of, label, same_era
+from gypsum_policy.revisions import era_of, format_revision, same_era
 from gypsum_sessions.daemons.asks import FeedState, Fetch, Follow, News, Unfollow
 from gypsum_sessions.daemons.packing import PackingError, unpack
 from gypsum_sessions.daemons.peers import PeerLost
@@ -386,7 +386,7 @@
     """Log fields: how far a feed is known here and at the watcher."""
     return {
         "feed": name,
-        "known": label(feed.known),
-        "vouched": label(feed.state.revision) if feed.state else None,
-        "changed": label(feed.state.since) if feed.state else None,
+        "known": format_revision(feed.known),
+        "vouched": format_revision(feed.state.revision) if feed.state else None,
+        "changed": format_revision(feed.state.since) if feed.state else None,
     }
--- a/tests/platform/test_returned_store.py
+++ b/tests/platform/test_returned_store.py
@@ -7,7 +7,7 @@
 from gypsum_platform.feeds import Feed, Waker
 from gypsum_platform.leases import StoreLeases
 from gypsum_platform.store import Conflict, HistoryGone, Store, StoreError
-from gypsum_policy.revisions import era_of, in_era, number_of
+from gypsum_policy.revisions import era_of, make_revision, number_of
 from gypsum_sessions.borders import LeaseError
 from tests.standins.objectstore import ObjectStore
 
@@ -205,14 +205,14 @@
     """Guards against a late list that brings a lost history back."""
     taken = []
     feed = Feed(
-        store=ListDouble(in_era(1, 99)),
+        store=ListDouble(make_revision(1, 99)),
         kind=KIND,
         take_all=taken.append,
         take_change=None,
         log=lambda *args, **fields: None,
         waker=Waker(),
     )
-    feed.revision, feed.list_next = in_era(2, 3), True
+    feed.revision, feed.list_next = make_revision(2, 3), True
     with pytest.raises(StoreError):
         asyncio.run(feed.step())
     assert taken == []
--- a/tests/sessions/feedrig.py
+++ b/tests/sessions/feedrig.py
@@ -15,7 +15,7 @@
     StoreError,
 )
 from gypsum_platform.takers import CONFIG_KIND, CONFIG_WATCH_MS
-from gypsum_policy.revisions import era_of, in_era, number_of
+from gypsum_policy.revisions import era_of, make_revision, number_of
 from tests.sessions.rig import Rig
 
 KINDS = ("config", "servers")
@@ -117,7 +117,7 @@
         found, revision = list(self.store.kinds[kind].values()), self.store.revision
         era = self.store.era
         await self.carry(found)
-        return [read_in(era, obj) for obj in found], in_era(era, revision)
+        return [read_in(era, obj) for obj in found], make_revision(era, revision)
 
     async def watch(self, kind, since, *, wait_ms):
         """Changes since a revision, as soon as there is one."""
@@ -142,7 +142,7 @@
         if self.daemon in self.store.busy:
             raise StoreError("cut off", step="watch", peer="store")
         self.check_history(since)
-        revision = in_era(self.store.era, self.store.revision)
+        revision = make_revision(self.store.era, self.store.revision)
         await self.carry([change.obj for change in found])
         changes = [
             Change(obj=read_in(self.store.era, change.obj), deleted=change.deleted)
@@ -170,8 +170,8 @@
     """An object as it is read in an era."""
     return replace(
         obj,
-        revision=in_era(era, obj.revision),
-        created=in_era(era, obj.created),
+        revision=make_revision(era, obj.revision),
+        created=make_revision(era, obj.created),
     )
 
 
--- a/tests/sessions/test_roster.py
+++ b/tests/sessions/test_roster.py
@@ -1,6 +1,6 @@
 """Members come, leave and vanish from the list."""
 
-from gypsum_policy.revisions import in_era
+from gypsum_policy.revisions import make_revision
 from gypsum_sessions.upstreams.roster import Member, Roster
 
 
@@ -122,6 +122,6 @@
 def test_a_member_that_leaves_still_does_after_the_store_returned_from_a_copy():
     """Guards against new work for a member whose word that it leaves was lost."""
     roster, _ = make_roster()
-    roster.seen(member("a", leaving=True, changed=in_era(1, 9)))
-    assert roster.seen(member("a", changed=in_era(2, 7))).leaving_since == 100.0
-    assert roster.seen(member("a", changed=in_era(2, 8))).leaving_since is None
+    roster.seen(member("a", leaving=True, changed=make_revision(1, 9)))
+    assert roster.seen(member("a", changed=make_revision(2, 7))).leaving_since == 100.0
+    assert roster.seen(member("a", changed=make_revision(2, 8))).leaving_since is None
--- a/tests/sessions/test_store_return.py
+++ b/tests/sessions/test_store_return.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gypsum_policy.revisions import in_era
+from gypsum_policy.revisions import make_revision
 from gypsum_sessions.daemons.asks import FeedState
 from gypsum_sessions.daemons.following import WatchedFeed
 from gypsum_sessions.daemons.relay import Relay
@@ -122,7 +122,7 @@
 
 def test_a_fleet_that_does_not_tell_eras_apart_is_noticed(monkeypatch):
     """Guards against random runs that would find nothing."""
-    monkeypatch.setattr(feedrig, "in_era", lambda era, number: number)
+    monkeypatch.setattr(feedrig, "make_revision", lambda era, number: number)
     with pytest.raises(AssertionError):
         for seed in range(SEEDS):
             run(random_run(seed, daemons=15))
@@ -130,23 +130,23 @@
 
 def test_a_watcher_in_an_earlier_era_confirms_nothing():
     """Guards against resting on a watcher whose own watch hangs in a lost history."""
-    old = FeedState(since=in_era(1, 90), revision=in_era(1, 99))
-    feed = WatchedFeed(known=in_era(2, 3), state=old)
+    old = FeedState(since=make_revision(1, 90), revision=make_revision(1, 99))
+    feed = WatchedFeed(known=make_revision(2, 3), state=old)
     assert feed.confirmed is None
     assert not feed.behind and feed.ahead
 
 
 def test_who_knows_a_lost_history_is_behind_a_watcher_in_the_new_one():
     """Guards against a follower that rests on the revisions of a lost history."""
-    new = FeedState(since=in_era(1, 90), revision=in_era(2, 91))
-    assert WatchedFeed(known=in_era(1, 93), state=new).behind
+    new = FeedState(since=make_revision(1, 90), revision=make_revision(2, 91))
+    assert WatchedFeed(known=make_revision(1, 93), state=new).behind
 
 
 def test_a_list_that_is_the_same_in_a_new_era_counts_as_changed():
     """Guards against followers that keep what a lost history has removed."""
     relay = Relay(clock=lambda: 0.0, in_touch_for=5.0, watches=lambda: True)
-    relay.take_all("things", {}, in_era(1, 5))
-    relay.take_all("things", {}, in_era(1, 7))
-    assert relay.feeds["things"].since == in_era(1, 5)
-    relay.take_all("things", {}, in_era(2, 6))
-    assert relay.feeds["things"].since == in_era(2, 6)
+    relay.take_all("things", {}, make_revision(1, 5))
+    relay.take_all("things", {}, make_revision(1, 7))
+    assert relay.feeds["things"].since == make_revision(1, 5)
+    relay.take_all("things", {}, make_revision(2, 6))
+    assert relay.feeds["things"].since == make_revision(2, 6)
