--- a/packages/policy/gypsum_policy/routing.py
+++ b/packages/policy/gypsum_policy/routing.py
@@ -7,22 +7,24 @@
 class Candidate:
     """An upstream that a read may go to, with what decides about it.
 
-    `expected` is its mean time in seconds, `ahead` the statements of this daemon
-    that it works on; `slots` is what it works on at once. `opening` is what a new
-    connection costs there in seconds, 0 if one of the caller's workspace is idle.
+    `expected_latency` is the mean time of a statement in seconds, `outstanding` the
+    number of this daemon's statements there, `slots` how many it runs at once.
+    `connect_cost` is the time in seconds that a new connection takes, 0 if the
+    caller's workspace has an idle one. `far`: it is in another failure domain.
+    `avoided`: it failed a moment ago. `saturated`: a statement would have to queue.
     """
 
     id: str
-    expected: float
-    ahead: int
+    expected_latency: float
+    outstanding: int
     slots: int
-    leads: bool
+    is_primary: bool
     far: bool
     leaving: bool
     avoided: bool
     lagging: bool
-    full: bool
-    opening: float = 0.0
+    saturated: bool
+    connect_cost: float = 0.0
 
 
 def order_for_read(candidates, *, far_cost):
@@ -33,22 +35,25 @@
     last: they are a last resort, not excluded, so that a read is refused only when
     nobody can run it.
     """
-    ranked = sorted(candidates, key=lambda item: rank(item, far_cost))
+    ranked = sorted(candidates, key=lambda item: sort_key(item, far_cost))
     return [item.id for item in ranked]
 
 
-def rank(item, far_cost):
+def sort_key(item, far_cost):
     """Sorting key of one candidate.
 
     A connection at hand counts as the time that a new one takes. What goes wrong
     without it: a workspace's reads go round all replicas, and push other workspaces'
     connections out at each.
     """
-    delay = item.expected * (1 + item.ahead / max(1, item.slots)) + item.opening
-    if item.full:
-        delay += item.expected
-    if item.leads:
-        delay += item.expected
+    delay = (
+        item.expected_latency * (1 + item.outstanding / max(1, item.slots))
+        + item.connect_cost
+    )
+    if item.saturated:
+        delay += item.expected_latency
+    if item.is_primary:
+        delay += item.expected_latency
     if item.far:
         delay += far_cost
     return (item.avoided, item.leaving, item.lagging, delay, item.id)
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -208,16 +208,16 @@
         member = item.member
         return Candidate(
             id=item.id,
-            expected=item.mean,
-            ahead=item.turns.queue.load,
+            expected_latency=item.mean,
+            outstanding=item.turns.queue.load,
             slots=member.slots,
-            leads=item.id == self.watch.leader,
+            is_primary=item.id == self.watch.leader,
             far=member.domain != self.around.domain,
             leaving=not member.stays,
             avoided=now < item.avoid_until,
             lagging=now < item.lagging_until,
-            full=not item.turns.queue.has_room(now),
-            opening=item.pool.opening_cost(workspace),
+            saturated=not item.turns.queue.has_room(now),
+            connect_cost=item.pool.opening_cost(workspace),
         )
 
     def takeover_under_way(self):
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -9,15 +9,15 @@
 
 PLAIN = Candidate(
     id="a",
-    expected=0.03,
-    ahead=0,
+    expected_latency=0.03,
+    outstanding=0,
     slots=5,
-    leads=False,
+    is_primary=False,
     far=False,
     leaving=False,
     avoided=False,
     lagging=False,
-    full=False,
+    saturated=False,
 )
 
 
@@ -27,15 +27,15 @@
 
 
 def test_replicas_come_before_the_leader():
-    assert order(replace(PLAIN, id="a", leads=True), replace(PLAIN, id="b")) == [
+    assert order(replace(PLAIN, id="a", is_primary=True), replace(PLAIN, id="b")) == [
         "b",
         "a",
     ]
 
 
 def test_a_leader_is_asked_when_replicas_are_slower_by_more_than_a_statement():
-    slow = replace(PLAIN, id="b", expected=0.2)
-    assert order(replace(PLAIN, leads=True), slow) == ["a", "b"]
+    slow = replace(PLAIN, id="b", expected_latency=0.2)
+    assert order(replace(PLAIN, is_primary=True), slow) == ["a", "b"]
 
 
 def test_the_near_one_of_two_equals_is_asked():
@@ -43,7 +43,7 @@
 
 
 def test_load_outweighs_nearness():
-    loaded = replace(PLAIN, id="a", ahead=5)
+    loaded = replace(PLAIN, id="a", outstanding=5)
     assert order(loaded, replace(PLAIN, id="b", far=True))[0] == "b"
 
 
@@ -52,7 +52,7 @@
         replace(PLAIN, id="a", avoided=True),
         replace(PLAIN, id="b", leaving=True),
         replace(PLAIN, id="c", lagging=True),
-        replace(PLAIN, id="d", leads=True, expected=0.3),
+        replace(PLAIN, id="d", is_primary=True, expected_latency=0.3),
     )
     assert names == ["d", "c", "b", "a"]
 
@@ -62,15 +62,15 @@
         st.builds(
             Candidate,
             id=st.uuids().map(str),
-            expected=st.floats(0.001, 10),
-            ahead=st.integers(0, 50),
+            expected_latency=st.floats(0.001, 10),
+            outstanding=st.integers(0, 50),
             slots=st.integers(0, 50),
-            leads=st.booleans(),
+            is_primary=st.booleans(),
             far=st.booleans(),
             leaving=st.booleans(),
             avoided=st.booleans(),
             lagging=st.booleans(),
-            full=st.booleans(),
+            saturated=st.booleans(),
         )
     )
 )
@@ -85,12 +85,12 @@
     Sequence: two replicas are idle, one has a connection of the workspace. Cause: what
     a new one costs did not count.
     """
-    new = replace(PLAIN, id="a", opening=0.012)
+    new = replace(PLAIN, id="a", connect_cost=0.012)
     at_hand = replace(PLAIN, id="b")
     assert order(new, at_hand) == ["b", "a"]
 
 
 def test_a_queue_longer_than_a_dial_is_left_for_a_new_connection():
-    new = replace(PLAIN, id="a", opening=0.012)
-    at_hand = replace(PLAIN, id="b", ahead=5)
+    new = replace(PLAIN, id="a", connect_cost=0.012)
+    at_hand = replace(PLAIN, id="b", outstanding=5)
     assert order(new, at_hand) == ["a", "b"]
