--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from gypsum_policy.suspicion import OUT_OF_REACH, is_cut_off
+from gypsum_policy.reachability import OUT_OF_REACH, is_cut_off
 from gypsum_sessions.replies import (
     Refusal,
     UpstreamBusy,
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-from gypsum_policy.succession import worth_changing
+from gypsum_policy.promotion import worth_changing
 
 
 class Reason(StrEnum):
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from gypsum_policy.succession import choose_heir
+from gypsum_policy.promotion import choose_heir
 from gypsum_sessions.replies import UpstreamBusy, UpstreamError, UpstreamStatus
 from gypsum_sessions.statements import (
     RESUME_REPLICATION,
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -5,7 +5,7 @@
 from random import Random
 from unittest.mock import patch
 
-from gypsum_policy.succession import worth_changing
+from gypsum_policy.promotion import worth_changing
 from gypsum_sessions.takeover import reasons
 from tests.sessions.fakegroup import PROMOTE_TIME
 from tests.sessions.rig import Rig
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from gypsum_policy.succession import choose_successor
+from gypsum_policy.promotion import choose_successor
 from gypsum_sessions.execution.confirm import known_replicas
 from gypsum_sessions.replies import Refusal
 from gypsum_sessions.upstreams.roster import Member, Roster
--- a/tests/sessions/test_reach.py
+++ b/tests/sessions/test_reach.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsum_policy.suspicion import VOUCHED_FOR, usable_helpers, vouches
+from gypsum_policy.reachability import VOUCHED_FOR, usable_helpers, vouches
 from gypsum_sessions.replies import Refusal
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from gypsum_core.records import Position
-from gypsum_policy.succession import choose_successor
+from gypsum_policy.promotion import choose_successor
 from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
 from gypsum_sessions.replies import Refusal, UpstreamStatus
 from gypsum_sessions.takeover.replication import Paused
