--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -212,7 +212,7 @@
 
 SWITCHES = {
     "change of the lead for the load": lambda: without(
-        (reasons, "worth_changing", lambda **seen: False)
+        (reasons, "should_hand_over", lambda **seen: False)
     ),
     "handover while the primary serves": lambda: without(
         (ReplicationControl, "spare_heir", no_heir)
--- a/packages/policy/gypsum_policy/promotion.py
+++ b/packages/policy/gypsum_policy/promotion.py
@@ -12,30 +12,30 @@
 
 # Replicas that have refused all reads for this long are behind for longer, seconds:
 # those that catch up do so within a second.
-BEHIND_AFTER = 1.0
+LAGGING_AFTER = 1.0
 # Statements have waited without a break for this long, seconds: a rush that the primary
 # can take is over sooner.
-PRESSED_AFTER = 0.5
+BACKLOGGED_AFTER = 0.5
 # After a takeover the lead stays where it is for its load's sake, seconds: a change
 # that did not help is not followed by others.
-REST = 6.0
+HANDOVER_COOLDOWN = 6.0
 
 
-def worth_changing(*, behind_for, backlogged_for, led_for):
+def should_hand_over(*, lagging_for, backlogged_for, since_takeover):
     """Tell whether another member should lead since the replicas are behind.
 
-    `behind_for`: seconds for which no replica has answered a read, though asked;
-    `backlogged_for`: for which statements have waited; `led_for`: since it
+    `lagging_for`: seconds for which no replica has answered a read, though asked;
+    `backlogged_for`: for which statements have waited; `since_takeover`: since it
     took the lead, or a takeover was tried.
     """
     return (
-        behind_for >= BEHIND_AFTER
-        and backlogged_for >= PRESSED_AFTER
-        and led_for >= REST
+        lagging_for >= LAGGING_AFTER
+        and backlogged_for >= BACKLOGGED_AFTER
+        and since_takeover >= HANDOVER_COOLDOWN
     )
 
 
-def choose_heir(candidates):
+def choose_handover_target(candidates):
     """The replica to hand the lead to while the primary serves; empty if none stays."""
     staying = [item for item in candidates if not item.leaving]
     if not staying:
@@ -44,21 +44,21 @@
     return best.upstream
 
 
-def choose_successor(paused, ordered=""):
+def choose_promotion_target(paused, pending=""):
     """The member to promote: the longest log, then one that stays, then any.
 
-    `ordered` is the one of an order that got no answer. It stays the choice while
+    `pending` is the one of an order that got no answer. It stays the choice while
     its pause has held, or its log is as long as any: two orders that are both carried
     out, for different members, let the second cut off what the first one acknowledged
     as primary.
     """
-    if any(item.upstream == ordered and item.held_before for item in paused):
-        return ordered
+    if any(item.upstream == pending and item.held_before for item in paused):
+        return pending
     best = max(
         paused,
         key=lambda item: (
             item.status.received,
-            item.upstream == ordered,
+            item.upstream == pending,
             not item.leaving,
             item.upstream,
         ),
--- a/packages/policy/gypsum_policy/reachability.py
+++ b/packages/policy/gypsum_policy/reachability.py
@@ -8,17 +8,17 @@
 
 # A daemon that has proven a primary this lately vouches for it, seconds: two rounds of
 # proofs, so that one that is lost does not count.
-VOUCHED_FOR = 0.6
+CONFIRMATION_VALID_FOR = 0.6
 # Other owners are asked again after this, seconds, while we reach no primary: a few
 # milliseconds of theirs each time.
-ASK_EVERY = 0.15
+ASK_INTERVAL = 0.15
 
 # A member that has answered nothing for this long is out of our reach, seconds: it is
 # asked ten times a second while nobody leads, and a dial takes 0.4 to fail.
-OUT_OF_REACH = 1.0
+UNREACHABLE_AFTER = 1.0
 
 
-def is_cut_off(answered, now):
+def is_partitioned(answered, now):
     """Tell whether a daemon reaches too few members to see the next primary soon.
 
     `answered` holds when each member last answered anything. A primary that died leaves
@@ -26,19 +26,21 @@
     the wrong side of a cut keeps them waiting for nothing, while others could serve
     them.
     """
-    reached = sum(now - at < OUT_OF_REACH for at in answered)
+    reached = sum(now - at < UNREACHABLE_AFTER for at in answered)
     return 2 * reached < len(answered)
 
 
-def vouches(proof_age):
+def confirms_primary(proof_age):
     """Tell whether a daemon whose last proof is so old vouches for its primary."""
-    return proof_age is not None and proof_age < VOUCHED_FOR
+    return proof_age is not None and proof_age < CONFIRMATION_VALID_FOR
 
 
-def usable_helpers(seen, now):
+def confirming_daemons(seen, now):
     """Names of daemons that lately vouched for a primary, the one seen last first.
 
     `seen` maps names to when they did, on our clock.
     """
-    fresh = [(at, name) for name, at in seen.items() if now - at < VOUCHED_FOR]
+    fresh = [
+        (at, name) for name, at in seen.items() if now - at < CONFIRMATION_VALID_FOR
+    ]
     return [name for _, name in sorted(fresh, reverse=True)]
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -11,7 +11,7 @@
 
 import asyncio
 
-from gypsum_policy.promotion import choose_successor
+from gypsum_policy.promotion import choose_promotion_target
 from gypsum_sessions.borders import LeaseError, PromoteOutcome
 from gypsum_sessions.replies import UpstreamError
 from gypsum_sessions.takeover.leader import prove_leads
@@ -300,7 +300,7 @@
         )
         if paused is None:
             return ""
-        best = choose_successor(paused, self.ordered)
+        best = choose_promotion_target(paused, self.ordered)
         if self.lacks_commits(paused, best, old):
             return ""
         self.log(
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from gypsum_policy.reachability import OUT_OF_REACH, is_cut_off
+from gypsum_policy.reachability import UNREACHABLE_AFTER, is_partitioned
 from gypsum_sessions.replies import (
     Refusal,
     UpstreamBusy,
@@ -85,9 +85,9 @@
         """Tell whether nobody leads and too few members are in reach to wait for it."""
         now, items = self.clock(), self.group.upstreams.values()
         since = self.leaderless_since
-        if self.leader or since is None or now - since < OUT_OF_REACH:
+        if self.leader or since is None or now - since < UNREACHABLE_AFTER:
             return False
-        return is_cut_off([item.heard_at for item in items], now)
+        return is_partitioned([item.heard_at for item in items], now)
 
     async def wait_change(self, timeout):
         """Wait until the leader is found or lost."""
--- a/packages/sessions/gypsum_sessions/takeover/reach.py
+++ b/packages/sessions/gypsum_sessions/takeover/reach.py
@@ -2,7 +2,11 @@
 
 import asyncio
 
-from gypsum_policy.reachability import ASK_EVERY, usable_helpers, vouches
+from gypsum_policy.reachability import (
+    ASK_INTERVAL,
+    confirming_daemons,
+    confirms_primary,
+)
 from gypsum_sessions.daemons.asks import LeaderQuestion
 from gypsum_sessions.daemons.peers import PeerLost
 
@@ -24,7 +28,7 @@
         """Owners that have lately proven the primary; none while we do so ourselves."""
         if self.group.watch.leader:
             return []
-        return usable_helpers(self.seen, self.around.clock())
+        return confirming_daemons(self.seen, self.around.clock())
 
     async def run(self):
         """Ask the other owners while we know of no primary, for ever."""
@@ -32,16 +36,16 @@
         while True:
             if watch.leader:
                 self.seen.clear()
-                await watch.wait_change(ASK_EVERY)
+                await watch.wait_change(ASK_INTERVAL)
                 continue
             if not watch.last_leader:
                 # The first search mostly ends sooner: when all daemons come back
                 # together each would dial all others before they can answer. Later on
                 # the answer is needed at once, before a takeover begins.
-                await watch.wait_change(ASK_EVERY)
+                await watch.wait_change(ASK_INTERVAL)
             if not watch.leader:
                 await self.ask_all()
-            await watch.wait_change(ASK_EVERY)
+            await watch.wait_change(ASK_INTERVAL)
 
     async def ask_all(self):
         """Ask every other owner; those that are silent are not waited for."""
@@ -64,7 +68,7 @@
             )
         except PeerLost:
             return
-        if vouches(answer.proof_age):
+        if confirms_primary(answer.proof_age):
             if not self.helpers() and not self.group.watch.leader:
                 self.around.log(
                     PART, "another daemon leads on", group=self.group.name, by=name
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-from gypsum_policy.promotion import worth_changing
+from gypsum_policy.promotion import should_hand_over
 
 
 class Reason(StrEnum):
@@ -90,10 +90,10 @@
         if leader is None or not replicas:
             return False
         behind_for = min(item.behind_for(now, self.around.tuning) for item in replicas)
-        return worth_changing(
-            behind_for=behind_for - delay,
+        return should_hand_over(
+            lagging_for=behind_for - delay,
             backlogged_for=leader.turns.queue.backlogged_for(now),
-            led_for=min(self.board.age(group.name), now - group.watch.found_at),
+            since_takeover=min(self.board.age(group.name), now - group.watch.found_at),
         )
 
     def successors(self, leader):
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from gypsum_policy.promotion import choose_heir
+from gypsum_policy.promotion import choose_handover_target
 from gypsum_sessions.replies import UpstreamBusy, UpstreamError, UpstreamStatus
 from gypsum_sessions.statements import (
     RESUME_REPLICATION,
@@ -107,7 +107,7 @@
             Paused(upstream=item.id, leaving=not item.member.stays, status=status)
             for item, status in zip(others, known, strict=True)
         ]
-        chosen = heir or choose_heir(found)
+        chosen = heir or choose_handover_target(found)
         if chosen not in {item.id for item in others}:
             self.log("no heir that stays")
             return None
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -5,7 +5,7 @@
 from random import Random
 from unittest.mock import patch
 
-from gypsum_policy.promotion import worth_changing
+from gypsum_policy.promotion import should_hand_over
 from gypsum_sessions.takeover import reasons
 from tests.sessions.fakegroup import PROMOTE_TIME
 from tests.sessions.rig import Rig
@@ -66,10 +66,10 @@
 
 
 def test_it_takes_both_far_replicas_and_a_queue():
-    assert worth_changing(behind_for=2.0, backlogged_for=1.0, led_for=9.0)
-    assert not worth_changing(behind_for=2.0, backlogged_for=0.0, led_for=9.0)
-    assert not worth_changing(behind_for=0.0, backlogged_for=1.0, led_for=9.0)
-    assert not worth_changing(behind_for=2.0, backlogged_for=1.0, led_for=3.0)
+    assert should_hand_over(lagging_for=2.0, backlogged_for=1.0, since_takeover=9.0)
+    assert not should_hand_over(lagging_for=2.0, backlogged_for=0.0, since_takeover=9.0)
+    assert not should_hand_over(lagging_for=0.0, backlogged_for=1.0, since_takeover=9.0)
+    assert not should_hand_over(lagging_for=2.0, backlogged_for=1.0, since_takeover=3.0)
 
 
 async def read_at_random(rig, proxy, rng, until, told):
@@ -113,7 +113,7 @@
     """
     served, promotions = run(play_far_replicas())
     assert promotions >= 1
-    with patch.object(reasons, "worth_changing", lambda **seen: False):
+    with patch.object(reasons, "should_hand_over", lambda **seen: False):
         without, none = run(play_far_replicas())
     assert none == 0
     assert served > without + 0.15
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from gypsum_policy.promotion import choose_successor
+from gypsum_policy.promotion import choose_promotion_target
 from gypsum_sessions.execution.confirm import known_replicas
 from gypsum_sessions.replies import Refusal
 from gypsum_sessions.upstreams.roster import Member, Roster
@@ -206,7 +206,7 @@
         again = await control.pause_all("u1", step_down=False)
         held = {item.upstream: item.held_before for item in again}
         assert held == {"u2": True, "u3@2": False}
-        assert choose_successor(again, "u3") == "u2"
+        assert choose_promotion_target(again, "u3") == "u2"
 
     run(main())
 
--- a/tests/sessions/test_reach.py
+++ b/tests/sessions/test_reach.py
@@ -2,7 +2,11 @@
 
 import asyncio
 
-from gypsum_policy.reachability import VOUCHED_FOR, usable_helpers, vouches
+from gypsum_policy.reachability import (
+    CONFIRMATION_VALID_FOR,
+    confirming_daemons,
+    confirms_primary,
+)
 from gypsum_sessions.replies import Refusal
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
@@ -10,9 +14,13 @@
 
 
 def test_only_fresh_proofs_vouch():
-    assert vouches(0.1) and not vouches(VOUCHED_FOR) and not vouches(None)
-    seen = {"a": 9.9, "b": 9.8, "old": 9.9 - VOUCHED_FOR}
-    assert usable_helpers(seen, 10.0) == ["a", "b"]
+    assert (
+        confirms_primary(0.1)
+        and not confirms_primary(CONFIRMATION_VALID_FOR)
+        and not confirms_primary(None)
+    )
+    seen = {"a": 9.9, "b": 9.8, "old": 9.9 - CONFIRMATION_VALID_FOR}
+    assert confirming_daemons(seen, 10.0) == ["a", "b"]
 
 
 def test_callers_of_a_daemon_that_is_cut_off_are_served_by_way_of_another():
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from gypsum_core.records import Position
-from gypsum_policy.promotion import choose_successor
+from gypsum_policy.promotion import choose_promotion_target
 from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
 from gypsum_sessions.replies import Refusal, UpstreamStatus
 from gypsum_sessions.takeover.replication import Paused
@@ -32,15 +32,21 @@
 
 
 def test_the_longest_log_is_chosen_even_if_it_leaves():
-    assert choose_successor([paused("a", 5), paused("b", 6, leaving=True)]) == "b"
+    assert (
+        choose_promotion_target([paused("a", 5), paused("b", 6, leaving=True)]) == "b"
+    )
 
 
 def test_of_equal_logs_the_one_that_stays_is_chosen():
-    assert choose_successor([paused("z", 5, leaving=True), paused("a", 5)]) == "a"
+    assert (
+        choose_promotion_target([paused("z", 5, leaving=True), paused("a", 5)]) == "a"
+    )
 
 
 def test_a_later_term_is_longer_than_any_index():
-    assert choose_successor([paused("a", 9, term=1), paused("b", 3, term=2)]) == "b"
+    assert (
+        choose_promotion_target([paused("a", 9, term=1), paused("b", 3, term=2)]) == "b"
+    )
 
 
 def test_groups_are_spread_over_the_daemons():
