--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -5,7 +5,7 @@
 
 from gypsum_core.records import Position
 from gypsum_policy.credentials import ANONYMOUS, Credential
-from gypsum_policy.usage import come_back_ms
+from gypsum_policy.ratelimit import come_back_ms
 from gypsum_sessions.callers.access import OpenTransaction
 from gypsum_sessions.catalog import Route
 from gypsum_sessions.execution.jobs import Job
--- a/packages/sessions/gypsum_sessions/catalog.py
+++ b/packages/sessions/gypsum_sessions/catalog.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 
 from gypsum_policy.credentials import ANONYMOUS, Credential, is_credential_valid
-from gypsum_policy.usage import Cap
+from gypsum_policy.ratelimit import Cap
 
 
 class ReadRule(StrEnum):
--- a/packages/sessions/gypsum_sessions/daemons/asks.py
+++ b/packages/sessions/gypsum_sessions/daemons/asks.py
@@ -10,7 +10,7 @@
 
 from gypsum_core.records import Position
 from gypsum_policy.credentials import ANONYMOUS, Credential
-from gypsum_policy.usage import Cap
+from gypsum_policy.ratelimit import Cap
 from gypsum_sessions.catalog import Route
 from gypsum_sessions.replies import Reply
 from gypsum_sessions.statements import Statement
--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -8,7 +8,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from gypsum_policy.usage import (
+from gypsum_policy.ratelimit import (
     FIRST_GRANTS,
     REFUSED_FOR,
     Bucket,
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -10,7 +10,7 @@
 from gypsum_platform.store import StoredObject
 from gypsum_platform.takers import CONFIG_NAME, ConfigTaker
 from gypsum_platform.upstream import WHO, WireConn, WireDialer
-from gypsum_policy.usage import Cap
+from gypsum_policy.ratelimit import Cap
 from gypsum_sessions.callers.keys import digest_of
 from tests.platform.test_entries import CONFIG
 from tests.platform.test_front import talk
--- a/tests/policy/test_usage.py
+++ b/tests/policy/test_ratelimit.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gypsum_policy.usage import (
+from gypsum_policy.ratelimit import (
     FIRST_GRANTS,
     TOLERATED_SHARE,
     WINDOW,
