--- a/packages/policy/gypsum_policy/ratelimit.py
+++ b/packages/policy/gypsum_policy/ratelimit.py
@@ -10,10 +10,10 @@
 What is let through: in `w` seconds a home grants rate * w + burst at most, always.
 A grant is counted when it is given and used at once, so none is kept and none comes
 back. A home that is new has counted nothing of what another one granted: it starts
-with what has come in since it may have become one, and with `FIRST_GRANTS`. One that
+with what has come in since it may have become one, and with `INITIAL_TOKENS`. One that
 stands in for another starts from nothing. While a fleet is split into parts that reach
 upstreams and not each other, each part has a home and grants the whole cap. A daemon
-that reaches no home grants by its own part of what a cap tolerates, see `lone_cap`.
+that reaches no home grants by its own part of what a cap tolerates, see `isolated_cap`.
 """
 
 from dataclasses import dataclass
@@ -22,20 +22,20 @@
 
 # Operations that a home grants before it knows anything: a workspace that was quiet is
 # not refused its first ones after a restart.
-FIRST_GRANTS = 2.0
+INITIAL_TOKENS = 2.0
 # Seconds of its rate that a stand-in saves up.
-STAND_IN_SAVES = 0.1
+STANDBY_BURST_SECONDS = 0.1
 # Daemons of a workspace's order that are asked for leave, one after the other.
-HOMES = 3
+MAX_HOMES = 3
 # A refusal holds at a daemon without another question for this long, seconds, at most:
 # hundreds of a hot workspace's callers come in that time.
-REFUSED_FOR = 0.1
+REFUSAL_VALID_FOR = 0.1
 # The time to come back that a refusal tells is spread over this share of it.
-SPREAD = 1.0
+RETRY_JITTER = 1.0
 # What a cap tolerates over its window beyond itself, and the part of the fleet that may
 # be cut off from all homes at once and use it.
-TOLERATED_SHARE = 0.1
-LONE_PART = 0.25
+TOLERATED_EXCESS = 0.1
+ISOLATED_SHARE = 0.25
 WINDOW = 5.0
 
 
@@ -51,36 +51,36 @@
     version: int = -1
 
 
-class Bucket:
+class TokenBucket:
     """Tokens of one workspace at whoever counts for it; `now` in seconds."""
 
     def __init__(self, *, cap, now, tokens):
         self.cap = cap
-        self.tokens = min(tokens, most(cap))
-        self.at = now
+        self.tokens = min(tokens, bucket_size(cap))
+        self.refilled_at = now
 
-    def fill(self, now):
+    def refill(self, now):
         """Add what has come in since the last look."""
-        self.tokens += self.cap.rate * max(0.0, now - self.at)
-        self.tokens = min(self.tokens, most(self.cap))
-        self.at = now
+        self.tokens += self.cap.rate * max(0.0, now - self.refilled_at)
+        self.tokens = min(self.tokens, bucket_size(self.cap))
+        self.refilled_at = now
 
-    def change(self, cap, now):
+    def set_cap(self, cap, now):
         """Count by another cap from now on, unless it is an older one."""
         if cap.version < self.cap.version:
             return
-        self.fill(now)
+        self.refill(now)
         self.cap = cap
-        self.tokens = min(self.tokens, most(cap))
+        self.tokens = min(self.tokens, bucket_size(cap))
 
     def take(self, wanted, now):
         """Grant up to so many operations; returns how many."""
-        self.fill(now)
+        self.refill(now)
         granted = min(wanted, int(self.tokens))
         self.tokens -= granted
         return granted
 
-    def wait(self):
+    def seconds_to_next(self):
         """Seconds until the next operation can be granted."""
         if self.tokens >= 1:
             return 0.0
@@ -91,51 +91,53 @@
 
 def home_group(workspace, groups):
     """The group whose owners count for a workspace; a group that comes moves few."""
-    return max(groups, key=lambda name: hash_of(workspace, name), default="")
+    return max(groups, key=lambda name: stable_hash(workspace, name), default="")
 
 
-def place_of(workspace, homes):
+def home_index(workspace, homes):
     """Which of a group's owners is a workspace's home: they share the workspaces."""
-    return hash_of(workspace, "home") % max(1, homes)
+    return stable_hash(workspace, "home") % max(1, homes)
 
 
-def hash_of(*words):
+def stable_hash(*words):
     """A number that all daemons work out alike."""
     return xxh32_intdigest("\x00".join(words).encode())
 
 
-def most(cap):
+def bucket_size(cap):
     """Tokens that a bucket holds at most: one whole operation at least."""
     return max(1.0, cap.burst)
 
 
-def first_tokens(cap, known_for):
+def initial_tokens(cap, known_for):
     """Tokens of a home that may have been one for so many seconds."""
-    return min(most(cap), FIRST_GRANTS + cap.rate * max(0.0, known_for))
+    return min(bucket_size(cap), INITIAL_TOKENS + cap.rate * max(0.0, known_for))
 
 
-def stand_in_cap(cap):
+def standby_cap(cap):
     """What one grants that stands in for a home: its rate, and hardly more at once.
 
     What goes wrong with the whole burst: homes are away one after the other, and each
     stand-in has saved up another one.
     """
-    burst = min(cap.burst, FIRST_GRANTS + cap.rate * STAND_IN_SAVES)
+    burst = min(cap.burst, INITIAL_TOKENS + cap.rate * STANDBY_BURST_SECONDS)
     return Cap(rate=cap.rate, burst=burst, version=cap.version)
 
 
-def lone_cap(cap, daemons):
+def isolated_cap(cap, daemons):
     """What one of so many daemons grants while it reaches no home.
 
     Half of what the cap tolerates, over the daemons that may be alone at once.
     """
     window = cap.rate * WINDOW + cap.burst
-    alone = max(1.0, LONE_PART * daemons)
-    rate = TOLERATED_SHARE * window / 2 / alone / WINDOW
+    alone = max(1.0, ISOLATED_SHARE * daemons)
+    rate = TOLERATED_EXCESS * window / 2 / alone / WINDOW
     return Cap(rate=rate, burst=1.0, version=cap.version)
 
 
-def come_back_ms(wait, request):
+def refusal_retry_ms(wait, request_id):
     """When a refused caller should come back, each at its own time, milliseconds."""
-    spread = xxh32_intdigest(request.encode()) % 1000 / 1000
-    return max(1, round(1000 * max(wait, REFUSED_FOR) * (1 + SPREAD * spread)))
+    spread = xxh32_intdigest(request_id.encode()) % 1000 / 1000
+    return max(
+        1, round(1000 * max(wait, REFUSAL_VALID_FOR) * (1 + RETRY_JITTER * spread))
+    )
--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -5,7 +5,7 @@
 
 from gypsum_core.records import Position
 from gypsum_policy.credentials import ANONYMOUS, Credential
-from gypsum_policy.ratelimit import come_back_ms
+from gypsum_policy.ratelimit import refusal_retry_ms
 from gypsum_sessions.callers.access import OpenTransaction
 from gypsum_sessions.catalog import Route
 from gypsum_sessions.execution.jobs import Job
@@ -113,7 +113,7 @@
             refusal=Refusal.BUSY,
             detail="not run, beyond the workspace's cap",
             state=self.state,
-            retry_after_ms=come_back_ms(wait, request),
+            retry_after_ms=refusal_retry_ms(wait, request),
         )
 
     # Statements that the proxy answers itself
--- a/packages/sessions/gypsum_sessions/daemons/homes.py
+++ b/packages/sessions/gypsum_sessions/daemons/homes.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from gypsum_policy.ratelimit import HOMES, Cap, home_group, place_of
+from gypsum_policy.ratelimit import MAX_HOMES, Cap, home_group, home_index
 from gypsum_sessions.daemons.asks import LeaveQuestion
 from gypsum_sessions.daemons.peers import PeerLost
 
@@ -61,8 +61,8 @@
         self.refresh()
         if workspace not in self.group_of:
             self.group_of[workspace] = home_group(workspace, self.groups)
-        found = self.daemons.order(self.group_of[workspace], HOMES)
-        turn = place_of(workspace, len(found))
+        found = self.daemons.order(self.group_of[workspace], MAX_HOMES)
+        turn = home_index(workspace, len(found))
         return [*found[turn:], *found[:turn]]
 
     def refresh(self):
--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 
 from gypsum_policy.ratelimit import (
-    FIRST_GRANTS,
-    REFUSED_FOR,
-    Bucket,
-    first_tokens,
-    lone_cap,
-    stand_in_cap,
+    INITIAL_TOKENS,
+    REFUSAL_VALID_FOR,
+    TokenBucket,
+    initial_tokens,
+    isolated_cap,
+    standby_cap,
 )
 from gypsum_sessions.daemons.asks import LeaveAnswer, LeaveQuestion
 from gypsum_sessions.daemons.homes import ANSWER_TIME, FORWARD_TIME, PART, Homes
@@ -74,8 +74,8 @@
         """
         now = self.known_since = self.clock()
         for bucket in self.buckets.values():
-            bucket.fill(now)
-            bucket.tokens = min(bucket.tokens, FIRST_GRANTS)
+            bucket.refill(now)
+            bucket.tokens = min(bucket.tokens, INITIAL_TOKENS)
 
     # For this daemon's callers
 
@@ -109,7 +109,9 @@
             # Should asking fail in a way that nobody thought of, nobody waits for ever.
             del self.asking[workspace]
             left = waiting + self.waiting.pop(workspace, [])
-            self.tell(workspace, left, LeaveAnswer(call=0, granted=0, wait=REFUSED_FOR))
+            self.tell(
+                workspace, left, LeaveAnswer(call=0, granted=0, wait=REFUSAL_VALID_FOR)
+            )
 
     def tell(self, workspace, waiting, answer):
         """Let those run that have leave, and refuse the others."""
@@ -119,7 +121,7 @@
         for fut in live[answer.granted :]:
             fut.set_result(max(answer.wait, LEAST_WAIT))
         if answer.granted < len(waiting):
-            pause = min(answer.wait, REFUSED_FOR)
+            pause = min(answer.wait, REFUSAL_VALID_FOR)
             self.refused_until[workspace] = self.clock() + pause
 
     def count_outcome(self, workspace, wait):
@@ -202,25 +204,27 @@
         """Grant as home; with a `place` above 0 in the place of one that is away."""
         now = self.clock()
         if place:
-            cap = stand_in_cap(cap)
+            cap = standby_cap(cap)
         bucket = self.buckets.get(workspace)
-        if bucket is None or (place and now - bucket.at > STALE_AFTER):
+        if bucket is None or (place and now - bucket.refilled_at > STALE_AFTER):
             known_for = 0.0 if place else now - self.known_since
-            tokens = first_tokens(cap, known_for)
-            bucket = self.buckets[workspace] = Bucket(cap=cap, now=now, tokens=tokens)
+            tokens = initial_tokens(cap, known_for)
+            bucket = self.buckets[workspace] = TokenBucket(
+                cap=cap, now=now, tokens=tokens
+            )
         return grant(bucket, cap, wanted, now)
 
     def count_alone(self, workspace, wanted, cap):
         """Grant what a daemon may that reaches no home."""
-        now, part = self.clock(), lone_cap(cap, len(self.daemons.known))
+        now, part = self.clock(), isolated_cap(cap, len(self.daemons.known))
         bucket = self.lone.get(workspace)
         if bucket is None:
-            bucket = self.lone[workspace] = Bucket(cap=part, now=now, tokens=0.0)
+            bucket = self.lone[workspace] = TokenBucket(cap=part, now=now, tokens=0.0)
         return grant(bucket, part, wanted, now)
 
 
 def grant(bucket, cap, wanted, now):
     """What a bucket grants by a cap, as an answer."""
-    bucket.change(cap, now)
+    bucket.set_cap(cap, now)
     granted = bucket.take(wanted, now)
-    return LeaveAnswer(call=0, granted=granted, wait=bucket.wait())
+    return LeaveAnswer(call=0, granted=granted, wait=bucket.seconds_to_next())
--- a/tests/policy/test_ratelimit.py
+++ b/tests/policy/test_ratelimit.py
@@ -4,15 +4,15 @@
 from hypothesis import strategies as st
 
 from gypsum_policy.ratelimit import (
-    FIRST_GRANTS,
-    TOLERATED_SHARE,
+    INITIAL_TOKENS,
+    TOLERATED_EXCESS,
     WINDOW,
-    Bucket,
     Cap,
-    come_back_ms,
-    first_tokens,
-    lone_cap,
-    most,
+    TokenBucket,
+    bucket_size,
+    initial_tokens,
+    isolated_cap,
+    refusal_retry_ms,
 )
 
 CAPS = st.builds(
@@ -23,7 +23,7 @@
 
 @given(CAPS, STEPS)
 def test_no_window_lets_more_through_than_rate_and_burst(cap, steps):
-    now, bucket, granted = 0.0, Bucket(cap=cap, now=0.0, tokens=cap.burst), []
+    now, bucket, granted = 0.0, TokenBucket(cap=cap, now=0.0, tokens=cap.burst), []
     for pause, wanted in steps:
         now += pause
         granted.append((now, bucket.take(wanted, now)))
@@ -31,41 +31,41 @@
         for last, _ in granted:
             inside = sum(count for at, count in granted if first <= at <= last)
             span = max(0.0, last - first)
-            assert inside <= cap.rate * span + most(cap) + 1e-6
+            assert inside <= cap.rate * span + bucket_size(cap) + 1e-6
 
 
 @given(CAPS, st.floats(0.01, 3))
 def test_after_the_wait_one_more_is_granted(cap, spent):
-    bucket = Bucket(cap=cap, now=0.0, tokens=0.0)
+    bucket = TokenBucket(cap=cap, now=0.0, tokens=0.0)
     bucket.take(1, spent)
-    wait = bucket.wait()
+    wait = bucket.seconds_to_next()
     assert bucket.take(1, spent + wait + 1e-9) == 1
 
 
 def test_a_lower_cap_counts_at_once_and_an_older_one_never():
-    bucket = Bucket(cap=Cap(rate=100, burst=100, version=2), now=0.0, tokens=100)
-    bucket.change(Cap(rate=5, burst=5, version=3), 1.0)
+    bucket = TokenBucket(cap=Cap(rate=100, burst=100, version=2), now=0.0, tokens=100)
+    bucket.set_cap(Cap(rate=5, burst=5, version=3), 1.0)
     assert bucket.take(50, 1.0) == 5
-    bucket.change(Cap(rate=100, burst=100, version=2), 2.0)
+    bucket.set_cap(Cap(rate=100, burst=100, version=2), 2.0)
     assert bucket.take(50, 2.0) == 5
 
 
 def test_a_new_home_starts_with_what_came_in_since_it_may_be_one():
     cap = Cap(rate=10, burst=30, version=1)
-    assert first_tokens(cap, 0.0) == FIRST_GRANTS
-    assert first_tokens(cap, 1.0) == FIRST_GRANTS + 10
-    assert first_tokens(cap, 60.0) == 30
+    assert initial_tokens(cap, 0.0) == INITIAL_TOKENS
+    assert initial_tokens(cap, 1.0) == INITIAL_TOKENS + 10
+    assert initial_tokens(cap, 60.0) == 30
 
 
 @given(CAPS, st.integers(1, 4000))
 def test_daemons_that_are_alone_stay_within_what_the_cap_tolerates(cap, daemons):
-    part = lone_cap(cap, daemons)
+    part = isolated_cap(cap, daemons)
     alone = daemons // 4
-    tolerated = TOLERATED_SHARE * (cap.rate * WINDOW + cap.burst)
+    tolerated = TOLERATED_EXCESS * (cap.rate * WINDOW + cap.burst)
     assert alone * part.rate * WINDOW <= tolerated / 2 + 1e-6
 
 
 def test_refused_callers_come_back_at_different_times():
-    times = {come_back_ms(0.2, f"r{number}") for number in range(100)}
+    times = {refusal_retry_ms(0.2, f"r{number}") for number in range(100)}
     assert min(times) >= 200 and max(times) <= 401
     assert len(times) > 50
