--- a/packages/policy/gypsum_policy/__init__.py
+++ b/packages/policy/gypsum_policy/__init__.py
@@ -1,5 +1,6 @@
-"""Decisions under load and faults: who holds connections, where work goes, who leads.
+"""Decisions about connections, routing, load shedding and leadership.
 
-Nothing here waits, sends or reads a clock: times and views are handed in. Each module
-names the load pattern that it answers and why its limits are what they are.
+Pure functions and small state objects: nothing here waits, does I/O or reads a clock;
+callers pass times and views in. Each module's docstring names the load pattern that it
+handles and the reasons for its limits.
 """
--- a/packages/policy/gypsum_policy/admission.py
+++ b/packages/policy/gypsum_policy/admission.py
@@ -1,11 +1,11 @@
-"""How much work an upstream is given at once, who comes next, and who is refused.
-
-Load pattern: more statements than a group's slots can run: a rush of callers, or
-replicas that lag, so that all reads fall on the primary. Without a limit the statements
-wait in the upstream's own queue, in the order of their arrival: it turns away what is
-over, every caller comes back, and all that is answered is late. With it they wait here:
-what can still be answered in time goes first, and what cannot be answered at all is
-refused while its caller has time to come back.
+"""Admission control for an upstream: concurrency limit, queue order and load shedding.
+
+Load pattern: more statements than a group's slots can run, from a burst of callers or
+from lagging replicas that leave all reads to the primary. Without a limit here, the
+statements wait in the upstream's own queue in order of arrival: it rejects the excess,
+all callers retry, and every answer that does come is late. With the limit they wait in
+this queue, which starts those that can still be answered in time first and refuses
+those that cannot be answered at all early enough for their callers to retry.
 """
 
 from dataclasses import dataclass
@@ -14,43 +14,44 @@
 from xxhash import xxh32_intdigest
 
 # Statements that all owners together have at an upstream for each of its slots. One
-# runs, the others keep the slot busy while answers and questions travel and the owners'
-# shares are uneven; with four of them the last one waits for three statements' time.
+# runs; the others keep the slot busy during network round trips and where the owners'
+# shares are uneven. With four, the last one waits for three statements to finish.
 OUTSTANDING_PER_SLOT = 4
-# After an upstream's queue was full the limit is lower by one, for this long each,
-# seconds: longer than its queue takes to empty.
+# Each rejection by an upstream with a full queue lowers the limit by one for this many
+# seconds, which is longer than its queue takes to empty.
 LIMIT_REDUCED_FOR = 1.0
-# Callers are told to come back no sooner than this: a statement's time.
+# Shortest retry delay sent to callers: about one statement's time.
 MIN_RETRY_MS = 30
-# ... and spread over this share of the queue's time.
+# Retry delays are spread over this fraction of the expected wait.
 RETRY_JITTER = 0.5
-# Weight of the newest statement in the mean time that one takes, and in the mean time
-# between two ends.
+# Weights of the newest sample in the moving averages of the service time and of the
+# interval between completions.
 SERVICE_TIME_WEIGHT = 0.1
 INTERVAL_WEIGHT = 0.2
 
 
 def retry_after_ms(wait, request_id):
-    """When a refused caller should come back: after the queue, each at its own time.
+    """Milliseconds after which a refused caller should retry.
 
-    What goes wrong when all are told the same: they come back together, and the queue
-    is as long as before.
+    `wait` is the expected wait in seconds. The jitter depends on the request id: with
+    the same delay for all, the callers would retry together and the queue would be as
+    long as before.
     """
     spread = xxh32_intdigest(request_id.encode()) % 1000 / 1000
     return max(MIN_RETRY_MS, round(wait * 1000 * (1 + RETRY_JITTER * spread)))
 
 
 def concurrency_limit(slots, owners):
-    """Statements that one of several owners may have at an upstream at once."""
+    """Statements that each owner may have at an upstream at once."""
     return 1 + -(-OUTSTANDING_PER_SLOT * slots // max(1, owners))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdmissionRequest:
-    """A statement that wants to run; times in seconds on one clock.
+    """A statement to be admitted; times in seconds on one clock.
 
-    A lower `priority` comes first. `target_time` is when its answer is due,
-    `deadline` when it is worth nothing.
+    A lower `priority` number goes first. An answer after `target_time` misses the
+    route's latency target, one after `deadline` is useless to the caller.
     """
 
     priority: int
@@ -59,7 +60,7 @@
 
 
 class QueueTimeout(Exception):
-    """A statement cannot be answered in time; `wait` is when there is room again."""
+    """A statement can't be answered in time; in `wait` seconds the queue has room."""
 
     def __init__(self, wait):
         super().__init__(f"the queue takes {wait:.3f} s")
@@ -67,11 +68,12 @@
 
 
 class WorkQueue:
-    """The statements of one owner for one upstream: some under way, others waiting.
+    """One owner's statements for one upstream, running and waiting.
 
-    `mean` is the mean time in seconds from a statement's start to its answer, `pace`
-    that between two ends while others wait: it tells how long a queue takes whatever
-    holds it up, slots, connections or other owners.
+    `mean_service_time` is the mean time in seconds from a statement's start to its
+    answer. `completion_interval` is the mean time between two completions while others
+    wait: it gives the queue's speed whatever the bottleneck is, slots, connections or
+    other owners.
     """
 
     def __init__(self, *, limit, mean_service_time):
@@ -86,17 +88,17 @@
         self.reductions = []
 
     def limit_at(self, now):
-        """The limit, lower where the upstream has turned work away of late."""
+        """The concurrency limit, lowered by the upstream's recent rejections."""
         self.reductions = [until for until in self.reductions if until > now]
         return max(1, self.limit - len(self.reductions))
 
     def record_rejection(self, now):
-        """The upstream's queue was full."""
+        """Lower the limit for a while: the upstream's queue was full."""
         if len(self.reductions) < self.limit - 1:
             self.reductions.append(now + LIMIT_REDUCED_FOR)
 
     def admit(self, request, now):
-        """A ticket for a statement that has to wait, None for one that may start.
+        """Return a ticket for a statement that has to wait, None for one that starts.
 
         Raises QueueTimeout for one that would not be answered in time.
         """
@@ -113,11 +115,11 @@
         return ticket
 
     def start_unqueued(self):
-        """A statement that may not wait, as its transaction is open, starts."""
+        """Start a statement that must not wait since its transaction is open."""
         self.running += 1
 
     def finish(self, now, seconds=None):
-        """A statement has ended, after so many seconds if it was answered."""
+        """Record the end of a statement; `seconds` is its time if it was answered."""
         self.running -= 1
         if seconds is not None:
             self.mean_service_time += SERVICE_TIME_WEIGHT * (
@@ -130,11 +132,11 @@
         self.finished_at = now if self.waiting else None
 
     def withdraw(self, ticket):
-        """Whoever waited does so no more."""
+        """Remove a waiting statement."""
         self.waiting.pop(ticket, None)
 
     def start_next(self, now, among):
-        """The ticket among some that may start now, or None; it counts as running."""
+        """Start the next of the tickets in `among` and return it; None if none may."""
         able = [ticket for ticket in self.waiting if ticket in among]
         if not able or self.running >= self.limit_at(now):
             return None
@@ -144,13 +146,13 @@
         return ticket
 
     def sort_key(self, ticket, now):
-        """Order of those that wait: worth, then what can be in time, then urgency."""
+        """Order of waiting statements: priority, still on target, earliest target."""
         request = self.waiting[ticket]
         late = now + self.mean_service_time > request.target_time
         return (request.priority, late, request.target_time, ticket)
 
     def timed_out(self, now):
-        """Tickets that cannot be answered in time any more."""
+        """Tickets of waiting statements that can't be answered by their deadline."""
         return [
             ticket
             for ticket, request in self.waiting.items()
@@ -158,7 +160,7 @@
         ]
 
     def expected_wait(self, request, now):
-        """Seconds until a request starts; None: until all that wait have started."""
+        """Seconds until a request starts; None: until all waiting ones have started."""
         ahead = len(self.waiting)
         if request is not None:
             ahead = sum(
@@ -172,14 +174,14 @@
         return (ahead + 1) * self.completion_interval
 
     def backlogged_for(self, now):
-        """Seconds for which statements have waited here without a break."""
+        """Seconds for which the queue has been non-empty without a break."""
         return now - self.backlogged_since if self.waiting else 0.0
 
     @property
     def load(self):
-        """Statements under way and waiting."""
+        """Number of running and waiting statements."""
         return self.running + len(self.waiting)
 
     def has_room(self, now):
-        """Tell whether a statement would start at once."""
+        """Whether a statement would start at once."""
         return not self.waiting and self.running < self.limit_at(now)
--- a/packages/policy/gypsum_policy/connections.py
+++ b/packages/policy/gypsum_policy/connections.py
@@ -1,27 +1,26 @@
-"""Which connection to an upstream a workspace gets, and which one gives way.
+"""Sharing an upstream's connections among workspaces, and which idle one to close.
 
-Load pattern: many workspaces before few connections. A connection is opened in the name
-of one workspace and stays its own, a new one takes as much of a slot as a statement.
-Were the connections of those that call all the time closed for one that calls once a
-minute, each statement would pay for a new one; were none closed, whoever comes late
-would get none.
+Load pattern: many workspaces and few connections. A connection belongs to the workspace
+for which it was opened, and opening one takes as much of a slot as a statement. If the
+connections of busy workspaces were closed for one that calls once a minute, each
+statement would pay for a new connection; if none were closed, late workspaces would get
+none.
 
-So a workspace that needs one more takes the place of the idle connection that will be
-missed least: a second one of a workspace that has another, else the one that has been
-idle for longest.
+A workspace that needs another connection therefore replaces the idle one that is least
+needed: a second one of a workspace that has several, else the one idle for longest.
 """
 
-# Connections that one workspace leaves to the others, as a share of an upstream's:
-# its transactions pause, and hold theirs meanwhile.
+# Fraction of an upstream's connections that one workspace has to leave to the others:
+# its transactions hold their connections while their callers pause.
 RESERVED_SHARE = 0.25
-# With fewer connections than this none is kept back: each would be a large part.
+# Below this many connections none is reserved: each would be a large fraction.
 MIN_LIMIT_TO_RESERVE = 4
 
 
 def index_to_evict(idle):
-    """Place of the idle connection that gives way to a new one; None without any.
+    """Index of the idle connection to close for a new one; None if none is idle.
 
-    `idle` holds (workspace, idle since) of each, times in seconds.
+    `idle` is a list of (workspace, idle since) pairs, times in seconds.
     """
     if not idle:
         return None
@@ -35,11 +34,11 @@
 
 
 def may_hold(held, *, workspace, limit):
-    """Tell whether a workspace may hold one more connection.
+    """Whether a workspace may hold one more connection.
 
-    `held` counts the connections in use by workspace, `limit` is what there is for all.
-    What goes wrong without it: a large workspace's transactions hold every connection
-    while their callers pause, and the small ones wait for them.
+    `held` counts the connections in use by workspace, `limit` is the total for all.
+    Without this limit the transactions of a large workspace hold every connection while
+    their callers pause, and small workspaces wait for them.
     """
     if not workspace or limit < MIN_LIMIT_TO_RESERVE:
         return True
--- a/packages/policy/gypsum_policy/credentials.py
+++ b/packages/policy/gypsum_policy/credentials.py
@@ -1,13 +1,13 @@
-"""Whose word counts on a caller's key, where daemons know different configurations.
+"""Validity of a caller's key where daemons have different configuration versions.
 
-Load pattern: keys are withdrawn, several within a second, while the store turns a third
-of the daemons away. A statement is let in at one daemon and run at another one, and
-either may know the newer configuration. A daemon that always went by its own would
-refuse callers whose key was just added; one that always trusted the other would run
-statements of callers whose key was withdrawn long ago.
+Load pattern: several keys are withdrawn within a second while the store rejects calls
+of a third of the daemons. A statement is admitted at one daemon and run at another, and
+either may have the newer configuration. A daemon that always used its own would refuse
+callers whose key was just added; one that always trusted the other would run statements
+of callers whose key was withdrawn long ago.
 
-So the newer configuration decides: the one that let a caller in, or that of whoever
-works on its statement.
+The newer configuration therefore decides: that of the daemon that admitted the caller
+or that of the daemon that runs the statement.
 """
 
 from dataclasses import dataclass
@@ -15,10 +15,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Credential:
-    """What a caller was let in with.
+    """The identity under which a caller was admitted.
 
-    `workspace` is whose key it showed, `digest` stands for that key, both empty where
-    no key is asked for. `version` is the configuration that let it in.
+    `workspace` owns the key that the caller presented and `digest` is that key's hash;
+    both are empty where no key is required. `version` is the configuration version that
+    admitted the caller.
     """
 
     workspace: str = ""
@@ -30,9 +31,10 @@
 
 
 def is_credential_valid(credential, *, version, holder):
-    """Tell whether a credential still counts where `version` is in force.
+    """Whether a credential is still valid under configuration `version`.
 
-    `holder` is the workspace that has its key there, None if none has.
+    `holder` is the workspace to which that configuration assigns the key, None if it
+    doesn't list the key.
     """
     if not credential.digest:
         return True
--- a/packages/policy/gypsum_policy/relays.py
+++ b/packages/policy/gypsum_policy/relays.py
@@ -28,7 +28,7 @@
 MAX_CHANGE_BYTES = 32 << 10
 # A piece takes a link of 5 Mbit/s 13 ms, which is what a statement on the same link
 # waits; the next one is sent once no more than this waits to be sent.
-CHUNK_BYTES = 8 << 10
+PIECE_BYTES = 8 << 10
 BACKLOG_POLL_INTERVAL = 0.01
 # A follower that is behind asks the store if its watcher's list has not come within
 # this, seconds: a dozen lists of 1,600 routes take a watcher's link of 5 Mbit/s a third
--- a/packages/sessions/gypsum_sessions/daemons/packing.py
+++ b/packages/sessions/gypsum_sessions/daemons/packing.py
@@ -7,7 +7,7 @@
 
 import cbor2
 
-from gypsum_policy.relays import CHUNK_BYTES
+from gypsum_policy.relays import PIECE_BYTES
 
 # The fastest level: names of routes differ in a few letters, so more gains little.
 LEVEL = 1
@@ -21,9 +21,9 @@
 
 
 def pack(objects):
-    """Objects by name as a list of pieces, each at most CHUNK_BYTES long."""
+    """Objects by name as a list of pieces, each at most PIECE_BYTES long."""
     data = zlib.compress(cbor2.dumps(objects), LEVEL)
-    return [data[at : at + CHUNK_BYTES] for at in range(0, len(data), CHUNK_BYTES)]
+    return [data[at : at + PIECE_BYTES] for at in range(0, len(data), PIECE_BYTES)]
 
 
 def unpack(pieces):
--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -8,9 +8,9 @@
 
 from gypsum_policy.relays import (
     BACKLOG_POLL_INTERVAL,
-    CHUNK_BYTES,
     HEARTBEAT_INTERVAL,
     MAX_CHANGE_BYTES,
+    PIECE_BYTES,
 )
 from gypsum_policy.revisions import same_era
 from gypsum_sessions.daemons.asks import Current, FeedState, News, Piece, encode
@@ -192,7 +192,7 @@
             return True
         since = feed.since
         for piece in self.packed(name, feed):
-            while desk.frames.backlog > CHUNK_BYTES:
+            while desk.frames.backlog > PIECE_BYTES:
                 await asyncio.sleep(BACKLOG_POLL_INTERVAL)
             if desk.closed or desk not in self.followers:
                 return True
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -6,8 +6,8 @@
 import pytest
 
 from gypsum_policy.relays import (
-    CHUNK_BYTES,
     MAX_CHANGE_BYTES,
+    PIECE_BYTES,
     WATCHER_TIMEOUT,
     is_contiguous,
     is_current,
@@ -212,7 +212,7 @@
     objects = objects_of(2000)
     pieces = pack(objects)
     assert len(pieces) > 1
-    assert max(map(len, pieces)) <= CHUNK_BYTES
+    assert max(map(len, pieces)) <= PIECE_BYTES
     assert unpack(pieces) == objects
 
 
