--- a/packages/policy/gypsum_policy/draining.py
+++ b/packages/policy/gypsum_policy/draining.py
@@ -1,13 +1,13 @@
-"""What a daemon that was told to stop still takes, and when it ends what is left.
+"""What a draining daemon still accepts, and when it ends the work that is left.
 
-Load pattern: daemons are stopped and started in turn, several at once, all owners of a
-group perhaps among them, while callers run transactions of several statements with
-pauses between them. A daemon that takes a new transaction shortly before its end has
-to roll back work that ran, and its caller begins anew with less of its time left. One
-that refuses too early turns away callers that nobody else would have served.
+Load pattern: daemons are restarted one after the other or several at once, perhaps all
+owners of a group among them, while callers run transactions of several statements with
+pauses between them. A daemon that accepts a new transaction shortly before it exits has
+to roll back work that ran, and the caller starts over with less time left. One that
+refuses too early rejects callers that no other daemon would have served.
 
-So what is open lives on for most of the grace, nothing that takes long is begun after
-the notice, and those that come next are ready when all owners of a group leave.
+Open work therefore continues for most of the grace period, long work is refused once
+the notice period is over, and standbys are ready when all owners of a group leave.
 """
 
 from dataclasses import dataclass
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainPlan:
-    """The phases of a shutdown, in seconds after it was asked for.
+    """The phases of a shutdown, in seconds since it was requested.
 
-    `notice` is the time in which the balancer may still send callers: two missed
-    probes a second apart. Until `sessions` idle sessions are closed in turn; from
-    `listen` on nobody new is taken. `transactions` is when those that still wait for
-    their callers are rolled back, `answers` when whatever runs is answered, and at
-    `total` the process has to be gone.
+    Until `notice_end` the load balancer may still send callers: two missed probes, one
+    second apart. Idle sessions are then closed one after the other until
+    `close_sessions_by`, and no new callers are accepted from `stop_listening_at` on.
+    Transactions that wait for their callers are rolled back at `roll_back_at`. Whatever
+    runs is answered by `answer_by`, and the process has to end by `exit_by`.
     """
 
     notice_end: float
@@ -33,11 +33,10 @@
 
 
 def make_drain_plan(grace):
-    """The plan for a grace time, in seconds.
+    """Return the plan for a grace period in seconds.
 
-    Transactions get three quarters: a statement takes a second at most on most routes,
-    and what is left of the grace after one is enough to answer it and to tell the
-    caller of the rollback.
+    Transactions get three quarters of it: on most routes a statement takes at most a
+    second, so the rest suffices to answer it and to report the rollback to the caller.
     """
     return DrainPlan(
         notice_end=0.37 * grace,
@@ -50,21 +49,21 @@
 
 
 def session_share_to_close(plan, elapsed, interval):
-    """The part of the idle sessions to close now, with a look `every` so many seconds.
+    """Fraction of the idle sessions to close now, if called every `interval` seconds.
 
-    What goes wrong when all are closed at once: they all come back at the same
-    moment, at the daemons that are left.
+    Sessions closed all at once would reconnect at the same moment, at the daemons that
+    are left.
     """
     left = max(1, round((plan.close_sessions_by - elapsed) / interval))
     return 1 / left
 
 
 def accepts_work(plan, elapsed, *, opens_transaction, last_resort):
-    """Tell whether a daemon that leaves takes new work of another daemon.
+    """Whether a draining daemon accepts new work from another daemon.
 
-    Until the notice is over it does, for the word that it leaves may be on its way.
-    After that only single statements (`opens` is false) that nobody else could run:
-    they end before it does, a transaction may not.
+    Until the notice period ends it does, since the other daemon may not have been told
+    of the drain yet. After that it accepts only single statements that nobody else
+    could run (`last_resort`): these end before it does, a transaction may not.
     """
     if elapsed < plan.notice_end:
         return True
@@ -72,11 +71,11 @@
 
 
 def choose_standby(names, *, owners, own, away):
-    """Who has to be ready to own a group, as `own` leaves; empty if nobody has to.
+    """The daemon that must get ready to own a group as `own` leaves; "" if none must.
 
     `names` is the group's order of daemons, of which the first `owners` own it; `away`
-    are those that leave as well or can't be reached. As long as one owner stays, the
-    others ask it. Each owner that leaves wakes another one, by its place in the order.
+    are those that leave too or can't be reached. While one owner stays, the others use
+    it. Each leaving owner picks a different standby by its own place in the order.
     """
     if own not in names[:owners]:
         return ""
--- a/packages/policy/gypsum_policy/latency.py
+++ b/packages/policy/gypsum_policy/latency.py
@@ -1,31 +1,32 @@
-"""How long an owner's answers take, as a daemon that asks it sees it.
+"""Latency of an owner's answers, as measured by a daemon that asks it.
 
-Load pattern: the machine of an owner turns slow, and it still answers. Near owners are
-asked first, so the callers of a whole failure domain queue at it: where two of 24
-owners' machines were six times slower, 1,755 of 1,972 refusals for the queue were
-theirs, and their answers took 370 ms at the median, the others' 40 to 80.
+Load pattern: an owner's machine becomes slow but still answers. Near owners are asked
+first, so the callers of a whole failure domain queue there. With 2 of 24 owners on
+machines that were six times slower, these two caused 1,755 of 1,972 refusals for queue
+length, and their median answer took 370 ms against 40 to 80 ms elsewhere.
 
-Only owners of one group are compared: a slow upstream or a lost primary slows them all,
-and then nobody gains by asking another.
+Only owners of the same group are compared: a slow upstream or a lost primary slows them
+all, and then asking another one gains nothing.
 """
 
 from itertools import islice
 
-# Weight of the newest answer: three slow ones in a row say enough.
+# Weight of the newest answer: three slow ones in a row are enough evidence.
 NEWEST_WEIGHT = 0.3
-# What is not asked any more may have become fast again: it is forgotten after this,
-# seconds, and tried by a few statements. Machines are slow for six seconds and more.
+# An owner that is not asked any more may have recovered: its latency is forgotten after
+# this many seconds, and a few statements try it. Slow machines stay so for six seconds
+# or more.
 FORGET_AFTER = 8.0
-# An answer of an owner that we know nothing of, seconds: the workloads' mean and a hop.
+# Assumed latency of an unknown owner in seconds: the mean of the workloads plus a hop.
 DEFAULT_LATENCY = 0.06
-# An owner lags when its answers take this many times as long as another one's, and this
-# much more, seconds: slow upstreams and long statements spread them by a factor of two.
+# An owner is slower than another if its answers take this many times as long plus this
+# many seconds: slow upstreams and long statements vary answers by a factor of two.
 SLOW_FACTOR = 3.0
 SLOW_MARGIN = 0.1
 
 
 class LatencyTracker:
-    """One owner's answers in one group; times on the caller's clock, seconds."""
+    """Latency of one owner in one group; times in seconds on the caller's clock."""
 
     def __init__(self):
         self.mean = None
@@ -33,15 +34,15 @@
         self.pending = {}
 
     def start_request(self, request_id, now):
-        """A question is on its way."""
+        """Record that a request was sent."""
         self.pending[request_id] = now
 
     def finish_request(self, request_id):
-        """It is not waited for any more."""
+        """Record that a request was answered or given up."""
         self.pending.pop(request_id, None)
 
     def record(self, seconds, now):
-        """An answer took so long, or would have."""
+        """Add the time that an answer took, or would have taken, to the mean."""
         if self.mean is None or now - self.recorded_at > FORGET_AFTER:
             self.mean = seconds
         else:
@@ -49,10 +50,10 @@
         self.recorded_at = now
 
     def estimate(self, now):
-        """Seconds that an answer takes; None if nothing is known of late.
+        """Expected seconds until an answer; None if there is no recent measurement.
 
-        The second oldest question that waits counts too: an owner that is slow by
-        seconds tells of it with no answer, and a single question may be slow by itself.
+        The second oldest pending request counts too: an owner that is slow by seconds
+        has sent no answer yet, while a single pending request may itself be slow.
         """
         known = self.mean if now - self.recorded_at <= FORGET_AFTER else None
         second = next(islice(self.pending.values(), 1, None), None)
@@ -62,9 +63,9 @@
 
 
 def is_slower(own, other):
-    """Tell whether an owner is so slow that the next one should be asked first.
+    """Whether an owner is so slow that the other one should be asked first.
 
-    Both are seconds that an answer takes, None where nothing is known.
+    Both arguments are latencies in seconds, None if unknown.
     """
     own, other = (DEFAULT_LATENCY if each is None else each for each in (own, other))
     return own > SLOW_FACTOR * other + SLOW_MARGIN
--- a/packages/policy/gypsum_policy/ownership.py
+++ b/packages/policy/gypsum_policy/ownership.py
@@ -1,12 +1,13 @@
-"""Which daemons hold connections to a group, how many, and whom others ask.
+"""Which daemons hold connections to a group, how many, and which owners others ask.
 
-Load pattern: more daemons than an upstream takes connections. Each daemon that opened
-its own few would leave an upstream full of idle connections, turn the last daemons away
-and hold a queue of its own before the same few slots. So a group has owners: they hold
-the connections, prove the leader and queue; all other daemons send them statements.
+Load pattern: more daemons than an upstream accepts connections. If each daemon opened a
+few of its own, an upstream would be full of idle connections and reject the last
+daemons, and every daemon would have its own queue for the same few slots. A group
+therefore has owners, which hold the connections, prove which upstream is primary and
+queue the work; all other daemons send them their statements.
 
-Who owns is only a matter of efficiency. Two daemons that disagree about it may open a
-few connections more; promises rest on positions, terms and fences, not on this.
+Ownership only affects efficiency. Two daemons that disagree about it may open a few
+extra connections; correctness rests on log positions, terms and fencing.
 """
 
 from dataclasses import dataclass
@@ -15,38 +16,38 @@
 
 from gypsum_policy.latency import DEFAULT_LATENCY, is_slower
 
-# Up to this many daemons each hold connections of their own: a statement saves the hop
-# to an owner, and a daemon that fails harms its own callers only.
+# Up to this many daemons, all own every group: statements save the hop to an owner, and
+# a failed daemon affects only its own callers.
 ALL_OWN_UP_TO = 12
-# Connections that an owner has to have to one upstream, at least: one for callers and
-# one for the proofs on which they wait.
+# Minimum connections of an owner to one upstream: one for callers and one for the
+# proofs of the primary on which they wait.
 MIN_CONNECTIONS = 2
-# After its start an owner may hold one connection more each time this has passed,
-# seconds: upstreams count lost connections for three seconds.
+# After its start an owner may hold one more connection every this many seconds:
+# upstreams count lost connections for three seconds.
 GROWTH_INTERVAL = 0.75
-# Connections to one upstream that an owner works well with: an upstream works on three
-# to six statements at once, and transactions hold theirs while their callers pause.
+# Connections to one upstream that an owner needs to work well: an upstream runs three
+# to six statements at once, and transactions keep theirs while their callers pause.
 CONNECTIONS_PER_OWNER = 8
-# Owners of all groups to which a daemon keeps links before it needs them: a link takes
-# some 25 kB at each end, and where there are more most are never needed.
+# Owners of all groups to which a daemon keeps links open in advance. A link takes about
+# 25 kB at each end, and with more owners most links would never be used.
 MAX_WARM_LINKS = 32
-# Owners of a group, at least: the loss of one leaves two.
+# Minimum number of owners of a group: two remain when one is lost.
 MIN_OWNERS = 3
-# Owners that may hand a statement on to the next, before one has to try: each costs two
-# milliseconds, and when all have just started all would.
+# Owners that may hand a statement on before the next one has to try it. Each handoff
+# costs two milliseconds, and owners that have all just started would all hand it on.
 MAX_HANDOFFS = 2
-# An owner that has lost the primary for longer than this hands work on, seconds: a late
-# proof has come by then.
+# An owner that has had no primary for longer than this hands work on, seconds: a proof
+# that is merely late has arrived by then.
 PRIMARY_LOSS_TOLERANCE = 0.25
-# Owners that are compared by how fast they answer: one that is not known is asked,
-# which takes a link; when all are slow every daemon would open one to each of them.
+# Owners that are compared by latency. One whose latency is unknown gets tried, which
+# needs a link; when all are slow every daemon would open a link to each of them.
 COMPARED_OWNERS = 3
 
 
 def owner_count(daemons, max_connections):
-    """How many of a number of daemons hold connections to a group's upstreams.
+    """Number of daemons that hold connections to a group's upstreams.
 
-    `max_connections` is what one upstream takes of all daemons together.
+    `max_connections` is what one upstream accepts from all daemons together.
     """
     if daemons <= ALL_OWN_UP_TO and can_share_equally(daemons, max_connections):
         return daemons
@@ -54,26 +55,26 @@
 
 
 def can_share_equally(daemons, max_connections):
-    """Tell whether every daemon can have its least share, with one left over."""
+    """Whether every daemon can have the minimum share, with one share left over."""
     return max_connections // (daemons + 1) >= MIN_CONNECTIONS
 
 
 def connection_share(owners, max_connections):
-    """Connections that one of several owners may hold to one upstream.
+    """Connections that each owner may hold to one upstream.
 
-    One share is left over, for proofs of the leader and for an owner that replaces
-    another before it is gone.
+    One share is left over, for proofs of the primary and for an owner that replaces
+    another one before that one has closed its connections.
     """
     return max(MIN_CONNECTIONS, max_connections // (owners + 1))
 
 
 def share_after_start(share, since_start):
-    """Connections that an owner is content with so many seconds after its start.
+    """Connections that an owner may hold `since_start` seconds after its start.
 
-    What goes wrong with the full share at once: all daemons come back together while
-    upstreams still count the connections that were lost; the first take what is left,
-    and the last can't ask who leads. With the least for long, transactions that pause
-    hold what there is, and all others wait, at upstreams that have room.
+    With the full share at once, daemons that restart together while upstreams still
+    count the lost connections compete for what is left: the first ones take it, and the
+    last ones can't ask which upstream is primary. With the minimum for long, paused
+    transactions hold all connections and others wait while upstreams have free slots.
     """
     grown = MIN_CONNECTIONS + int(since_start / GROWTH_INTERVAL)
     return min(share, max(MIN_CONNECTIONS, grown))
@@ -81,11 +82,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OwnerView:
-    """An owner of a group as one daemon sees it.
+    """A daemon that may be asked for a group's work, as seen by the asking daemon.
 
-    `rank` is its place in the group's order of daemons, `avoided` that it did not
-    answer a moment ago or said that it leaves, `expected_latency` the seconds that
-    its answers take, None if that is not known.
+    `rank` is its place in the group's order of daemons. `far`: it is in another failure
+    domain. `avoided`: it recently failed to answer, or announced that it leaves.
+    `expected_latency` is the time of its answers in seconds, None if unknown.
     """
 
     name: str
@@ -96,25 +97,26 @@
 
 
 def is_last_resort(*, asked_all, leaving, unable):
-    """Tell whether an owner has to try although it leaves or has just started.
+    """Whether an owner must try a statement although it leaves or has just started.
 
-    `asked_all`: all were asked once and none could. `leaving`: it said that it leaves,
-    so that those that stay were asked before it. `unable` owners have handed it on.
+    `asked_all`: all owners were asked once and none could run it. `leaving`: this owner
+    announced that it leaves, so those that stay were asked before it. `unable`: number
+    of owners that handed the statement on.
     """
     return asked_all or leaving or unable >= MAX_HANDOFFS
 
 
 def owners_to_ask(views, *, owners, daemon, workspace=""):
-    """Names of those that a daemon asks, in turn.
+    """Names of the daemons to ask, in order.
 
-    Owners come before the daemons that would own if they failed, near ones before far
-    ones, and each daemon starts at another of equal ones, so that the owners of a
-    failure domain share its callers. Those that did not answer are the last resort.
-    One of the next comes before the first if that lags behind it.
+    Owners come before the daemons that would replace failed owners, near ones before
+    far ones. Among equals each daemon starts with a different one, so that the owners
+    of a failure domain share its callers. Avoided ones are the last resort. If the
+    first owner is much slower than one of the next, that one is asked first.
 
-    The work of a workspace goes to the same owner from all daemons, near or far. What
-    goes wrong without it: an owner's few connections, each in the name of a workspace,
-    serve all of them in turn, and most statements wait for a new one.
+    All daemons send the work of a workspace to the same owner, near or far. Otherwise
+    an owner's few connections, each bound to a workspace, would serve all workspaces in
+    turn, and most statements would wait for a new connection.
     """
 
     def sort_key(view):
@@ -134,7 +136,7 @@
 
 
 def fastest(views, owners):
-    """The owner whose answers take least; one that nobody knows counts as usual."""
+    """The owner with the lowest latency; an unknown one counts as typical."""
     candidates = [view for view in views if not view.avoided and view.rank < owners]
     return min(
         candidates,
