--- a/packages/policy/gypsum_policy/ownership.py
+++ b/packages/policy/gypsum_policy/ownership.py
@@ -120,12 +120,12 @@
     """
 
     def sort_key(view):
-        stands_in = view.rank >= owners
+        is_standby = view.rank >= owners
         if workspace:
-            turn = xxh64_intdigest(f"{workspace}/{view.name}".encode())
-            return (view.avoided, stands_in, turn)
-        turn = xxh64_intdigest(f"{daemon}/{view.name}".encode())
-        return (view.avoided, stands_in, view.name != daemon, view.far, turn)
+            order_hash = xxh64_intdigest(f"{workspace}/{view.name}".encode())
+            return (view.avoided, is_standby, order_hash)
+        order_hash = xxh64_intdigest(f"{daemon}/{view.name}".encode())
+        return (view.avoided, is_standby, view.name != daemon, view.far, order_hash)
 
     order = sorted(views, key=sort_key)
     best = fastest(order[:COMPARED_OWNERS], owners)
--- a/packages/policy/gypsum_policy/promotion.py
+++ b/packages/policy/gypsum_policy/promotion.py
@@ -1,32 +1,32 @@
-"""Which member of a group leads next, and when another one should for its load.
+"""Which member of a group to promote, and when to hand over because of load.
 
-Load pattern: a primary is gone, cut off or leaving while commits are on their way. Each
-of its replicas has been paused, so the longest log holds all that was acknowledged.
+Load pattern: the primary is dead, cut off or leaving while commits are in flight. All
+its replicas have been paused, so the longest log holds every acknowledged commit.
 
-Second pattern: all replicas are far behind, every read falls on the primary, and its
-queue is longer than what can be answered in time. A replica has received what it has
-not applied, and leads with all of it; the old primary then is a replica that is level.
-So a change of the lead doubles what the group can run, at once instead of when the
-replicas have caught up.
+Second pattern: all replicas lag far behind, every read goes to the primary, and its
+queue is longer than what can be answered in time. A replica has received log that it
+hasn't applied yet, and has all of it once it is primary; the old primary then is an up
+to date replica. A handover therefore doubles the group's capacity at once instead of
+when the replicas have caught up.
 """
 
-# Replicas that have refused all reads for this long are behind for longer, seconds:
-# those that catch up do so within a second.
+# Replicas that have refused all reads for this many seconds lag for longer: one that is
+# about to catch up does so within a second.
 LAGGING_AFTER = 1.0
-# Statements have waited without a break for this long, seconds: a rush that the primary
-# can take is over sooner.
+# The primary's queue must have been non-empty for this many seconds: a burst that it
+# can handle is over sooner.
 BACKLOGGED_AFTER = 0.5
-# After a takeover the lead stays where it is for its load's sake, seconds: a change
-# that did not help is not followed by others.
+# No handover because of load within this many seconds of a takeover: one that didn't
+# help isn't followed by others.
 HANDOVER_COOLDOWN = 6.0
 
 
 def should_hand_over(*, lagging_for, backlogged_for, since_takeover):
-    """Tell whether another member should lead since the replicas are behind.
+    """Whether to hand over to a replica because all replicas lag; times in seconds.
 
-    `lagging_for`: seconds for which no replica has answered a read, though asked;
-    `backlogged_for`: for which statements have waited; `since_takeover`: since it
-    took the lead, or a takeover was tried.
+    `lagging_for`: time for which no replica has answered a read, though asked.
+    `backlogged_for`: time for which statements have waited at the primary.
+    `since_takeover`: time since the primary took over or a takeover was tried.
     """
     return (
         lagging_for >= LAGGING_AFTER
@@ -36,7 +36,7 @@
 
 
 def choose_handover_target(candidates):
-    """The replica to hand the lead to while the primary serves; empty if none stays."""
+    """The replica to promote while the primary still serves; "" if none stays."""
     staying = [item for item in candidates if not item.leaving]
     if not staying:
         return ""
@@ -45,12 +45,12 @@
 
 
 def choose_promotion_target(paused, pending=""):
-    """The member to promote: the longest log, then one that stays, then any.
+    """The member to promote: the one with the longest log, preferably one that stays.
 
-    `pending` is the one of an order that got no answer. It stays the choice while
-    its pause has held, or its log is as long as any: two orders that are both carried
-    out, for different members, let the second cut off what the first one acknowledged
-    as primary.
+    `pending` is the member of a promotion order that got no answer. It is chosen again
+    if it has stayed paused since or its log is as long as any: if two orders for
+    different members both took effect, the second one would lose what the first member
+    acknowledged as primary.
     """
     if any(item.upstream == pending and item.held_before for item in paused):
         return pending
--- a/packages/policy/gypsum_policy/reachability.py
+++ b/packages/policy/gypsum_policy/reachability.py
@@ -1,44 +1,44 @@
-"""When a primary that this daemon does not reach is out of service, and when it is not.
+"""When a primary that this daemon can't reach is out of service, and when it isn't.
 
-Load pattern: a primary that some daemons reach and others do not, as a path is cut or
-it takes no further connection, while callers of all daemons need it. A daemon that goes
-by its own view alone deposes a primary that serves half of the callers, for a second
-in which nobody writes; and until then it turns its own callers away.
+Load pattern: a primary that some daemons reach and others don't, because of a network
+partition or because it accepts no more connections, while callers of all daemons need
+it. A daemon that goes by its own view alone deposes a primary that serves half of the
+callers, and nobody can write for a second; until then it rejects its own callers.
 """
 
-# A daemon that has proven a primary this lately vouches for it, seconds: two rounds of
-# proofs, so that one that is lost does not count.
+# A proof of the primary counts as a confirmation for this many seconds: two rounds of
+# proofs, so that losing one doesn't matter.
 CONFIRMATION_VALID_FOR = 0.6
-# Other owners are asked again after this, seconds, while we reach no primary: a few
-# milliseconds of theirs each time.
+# Seconds between questions to the other owners while this daemon reaches no primary:
+# each costs them a few milliseconds.
 ASK_INTERVAL = 0.15
 
-# A member that has answered nothing for this long is out of our reach, seconds: it is
-# asked ten times a second while nobody leads, and a dial takes 0.4 to fail.
+# A member that has answered nothing for this many seconds is unreachable: without a
+# primary it is probed ten times a second, and a connection attempt takes 0.4 to fail.
 UNREACHABLE_AFTER = 1.0
 
 
 def is_partitioned(answered, now):
-    """Tell whether a daemon reaches too few members to see the next primary soon.
+    """Whether a daemon reaches too few members to see the next primary soon.
 
-    `answered` holds when each member last answered anything. A primary that died leaves
-    the others in reach, and waiting for its successor serves the callers; a daemon on
-    the wrong side of a cut keeps them waiting for nothing, while others could serve
-    them.
+    `answered` holds the time of each member's last answer. When a primary dies the
+    other members stay reachable, and callers are best served by waiting for its
+    successor. A daemon on the minority side of a partition makes them wait for nothing,
+    while other daemons could serve them.
     """
     reached = sum(now - at < UNREACHABLE_AFTER for at in answered)
     return 2 * reached < len(answered)
 
 
 def confirms_primary(proof_age):
-    """Tell whether a daemon whose last proof is so old vouches for its primary."""
+    """Whether a proof of this age in seconds confirms the primary; None is no proof."""
     return proof_age is not None and proof_age < CONFIRMATION_VALID_FOR
 
 
 def confirming_daemons(seen, now):
-    """Names of daemons that lately vouched for a primary, the one seen last first.
+    """Names of the daemons that recently confirmed a primary, the latest first.
 
-    `seen` maps names to when they did, on our clock.
+    `seen` maps names to the time of their confirmation, on this daemon's clock.
     """
     fresh = [
         (at, name) for name, at in seen.items() if now - at < CONFIRMATION_VALID_FOR
--- a/packages/policy/gypsum_policy/relays.py
+++ b/packages/policy/gypsum_policy/relays.py
@@ -1,87 +1,91 @@
-"""Which daemons watch the store, which follow them, and when a follower is current.
+"""Which daemons watch the store, which follow them, and when a follower is up to date.
 
-Load pattern: a store that takes some hundred calls a second, and counts a watch that
-waits as one. If every daemon watches, calls grow with the fleet: 91 daemons made 5,900
-in a minute. A few watchers in each failure domain pass on what they learn; the others
-ask the store themselves only while no watcher is in touch with it, or while they are
-behind. Whoever does not reach the store follows a daemon that does.
+Load pattern: a store that handles a few hundred calls per second and counts a pending
+watch as one. If every daemon watches, calls grow with the fleet: 91 daemons made 5,900
+in a minute. A few watchers in each failure domain therefore pass changes on; the other
+daemons only call the store while no watcher is in touch with it or while they are
+behind. A daemon that can't reach the store follows one that can.
 """
 
 from gypsum_policy.revisions import same_era
 
-# Watchers in each failure domain: the loss of one leaves one near.
+# Watchers per failure domain: one near watcher remains when one is lost.
 WATCHERS_PER_DOMAIN = 2
-# Up to this many daemons all watch: a dozen cost less than what a hop adds in delay.
+# Up to this many daemons, all watch: a dozen watches cost less than the delay that a
+# hop adds.
 ALL_WATCH_UP_TO = 12
-# A watcher says this often that it is in touch with the store, seconds.
+# Seconds between a watcher's heartbeats, which say that it is in touch with the store.
 HEARTBEAT_INTERVAL = 0.4
-# A watcher that has said nothing for this long is left for another: three beats lost.
+# A watcher that has sent nothing for this many seconds is replaced: it has missed three
+# heartbeats.
 WATCHER_TIMEOUT = 1.3
-# A watcher that has spoken and is not in touch with the store is left after this, and
-# not followed again for a while, seconds: one beat lost, and the time in which the
-# other watchers have been asked.
+# A watcher that answers but has lost the store is replaced after this many seconds, one
+# heartbeat and the time to ask the other watchers, and isn't followed again before
+# WATCHER_RETRY_AFTER.
 DISCONNECTED_WATCHER_TIMEOUT = 0.6
 WATCHER_RETRY_AFTER = 3.0
-# Changes larger than this are not passed on, but told of, bytes: on a link of 5 Mbit/s
-# a watcher would take a second to pass them to all its followers. These ask for the
-# whole list, packed and in pieces, and the store if it does not come soon.
+# Changes larger than this many bytes are announced instead of sent: on a link of 5
+# Mbit/s a watcher would need a second to send them to all its followers. These request
+# the whole list, compressed and in pieces, and the store if it doesn't arrive soon.
 MAX_CHANGE_BYTES = 32 << 10
-# A piece takes a link of 5 Mbit/s 13 ms, which is what a statement on the same link
-# waits; the next one is sent once no more than this waits to be sent.
+# A piece occupies a link of 5 Mbit/s for 13 ms, which delays statements on that link.
+# The next piece is sent once at most this many bytes wait to be sent, which is checked
+# at this interval in seconds.
 PIECE_BYTES = 8 << 10
 BACKLOG_POLL_INTERVAL = 0.01
-# A follower that is behind asks the store if its watcher's list has not come within
-# this, seconds: a dozen lists of 1,600 routes take a watcher's link of 5 Mbit/s a third
-# of it, and the users' bound on a change leaves four times as much.
+# A follower that is behind asks the store if its watcher's list hasn't arrived within
+# this many seconds. A dozen lists of 1,600 routes take a third of it on a watcher's
+# link of 5 Mbit/s, and the users' bound on a change leaves four times as much.
 LIST_TIMEOUT = 1.0
-# A whole list that was asked for and has not come is asked for again after this,
-# seconds: in pieces a configuration of 1,600 routes takes a tenth of it.
+# A whole list that hasn't arrived is requested again after this many seconds: in pieces
+# a configuration of 1,600 routes takes a tenth of it.
 LIST_RETRY_AFTER = 2.0
-# A follower asks a store that does not answer no more often than this, seconds, and
-# looks this often whether a watcher is in touch again.
+# Minimum seconds between a follower's calls to a store that doesn't answer, and seconds
+# between its checks whether a watcher is in touch with the store again.
 FOLLOWER_RETRY_INTERVAL = 4.0
 WATCHER_POLL_INTERVAL = 0.25
-# A daemon that is to follow and was just answered by the store waits this long for a
-# watcher before it asks the store again, seconds: it finds one within two looks.
+# A daemon that should follow and has just been answered by the store waits this many
+# seconds for a watcher before it calls the store again: it finds one in two checks.
 WATCHER_SEARCH_TIMEOUT = 1.0
-# Changes that come this soon after others are a swarm, seconds, and its next ones are
-# gathered for as long: 195 daemons that start within a second make 9,300 calls if each
-# entry is fetched alone, 1,080 with both waits (two seconds of virtual time). A change
-# that comes alone is taken in at once.
+# Changes within this many seconds of others are a burst, and the next ones are batched
+# for as long: 195 daemons that start within a second make 9,300 calls if each entry is
+# fetched alone, and 1,080 with both waits (two seconds of virtual time). A change that
+# comes alone is processed at once.
 BURST_WINDOW = 0.2
 
 
 def watcher_count(daemons, domains, all_up_to=ALL_WATCH_UP_TO):
-    """How many of the daemons watch the store; up to `all_up_to` all do."""
+    """Number of daemons that watch the store; up to `all_up_to` all of them do."""
     if daemons <= all_up_to:
         return daemons
     return min(daemons, WATCHERS_PER_DOMAIN * domains)
 
 
 def batch_delay(since_last):
-    """Seconds for which further changes are gathered before the store is asked again.
+    """Seconds to batch further changes before the store is called again.
 
-    `since_last` is the time from the answer with changes before this one to this one.
+    `since_last` is the time in seconds between the previous answer with changes and
+    this one.
     """
     return BURST_WINDOW if since_last < BURST_WINDOW else 0.0
 
 
 def is_current(known, since):
-    """Tell whether who knows a feed up to `known` has all of a watcher's changes.
+    """Whether a follower that knows a feed up to `known` has all its watcher's changes.
 
-    `since` is the revision of the watcher's last change. What goes wrong with the
-    revision that the watcher knows the feed up to: a follower that missed a change is
-    below it, and so is one that missed none; with "at least as much as I know" the
-    first rests on what it has, with "the same" the second asks the store for ever.
+    `since` is the revision of the watcher's last change. The revision up to which the
+    watcher knows the feed wouldn't do: a follower that missed a change is below it, and
+    so is one that missed none. Accepting any lower revision would leave the first one
+    out of date; requiring equality would make the second one call the store forever.
     """
     return known >= since
 
 
 def is_contiguous(known, since, revision):
-    """Tell whether changes between two revisions follow on what is known.
+    """Whether the changes from `since` to `revision` follow on revision `known`.
 
-    What goes wrong without it: the changes before `since` are missing for as long as
-    the process runs, since it takes itself for caught up to `revision`. Nothing follows
-    on what is known of an earlier era: what the store lost is in no change.
+    Without this check a daemon takes itself for up to date at `revision` while the
+    changes before `since` are missing until the process restarts. Nothing follows on a
+    revision of an earlier era: no change tells what the store lost.
     """
     return same_era(known, revision) and since <= known < revision
--- a/packages/policy/gypsum_policy/routing.py
+++ b/packages/policy/gypsum_policy/routing.py
@@ -1,11 +1,11 @@
-"""Which upstreams a read is sent to, and in which order. No I/O, no state."""
+"""Order in which upstreams are tried for a read. No I/O, no state."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Candidate:
-    """An upstream that a read may go to, with what decides about it.
+    """An upstream that may run a read, with the properties that rank it.
 
     `expected_latency` is the mean time of a statement in seconds, `outstanding` the
     number of this daemon's statements there, `slots` how many it runs at once.
@@ -30,21 +30,19 @@
 def order_for_read(candidates, *, far_cost):
     """Candidate ids, the best first.
 
-    Replicas come before the leader, whose slots are needed for writes, unless they
-    are about to be slower by a whole statement. Upstreams that failed or leave come
-    last: they are a last resort, not excluded, so that a read is refused only when
-    nobody can run it.
+    Replicas come before the primary, whose slots are needed for writes, unless they are
+    expected to be slower by a whole statement. Upstreams that failed or leave come last
+    instead of being excluded, so that a read is refused only when none can run it.
     """
     ranked = sorted(candidates, key=lambda item: sort_key(item, far_cost))
     return [item.id for item in ranked]
 
 
 def sort_key(item, far_cost):
-    """Sorting key of one candidate.
+    """Sort key of one candidate.
 
-    A connection at hand counts as the time that a new one takes. What goes wrong
-    without it: a workspace's reads go round all replicas, and push other workspaces'
-    connections out at each.
+    It includes the cost of a new connection. Otherwise the reads of a workspace rotate
+    over all replicas and evict other workspaces' connections at each of them.
     """
     delay = (
         item.expected_latency * (1 + item.outstanding / max(1, item.slots))
