--- a/packages/policy/gypsum_policy/admission.py
+++ b/packages/policy/gypsum_policy/admission.py
@@ -137,10 +137,10 @@
 
     def start_next(self, now, among):
         """Start the next of the tickets in `among` and return it; None if none may."""
-        able = [ticket for ticket in self.waiting if ticket in among]
-        if not able or self.running >= self.limit_at(now):
+        startable = [ticket for ticket in self.waiting if ticket in among]
+        if not startable or self.running >= self.limit_at(now):
             return None
-        ticket = min(able, key=lambda item: self.sort_key(item, now))
+        ticket = min(startable, key=lambda item: self.sort_key(item, now))
         del self.waiting[ticket]
         self.running += 1
         return ticket
@@ -148,8 +148,8 @@
     def sort_key(self, ticket, now):
         """Order of waiting statements: priority, still on target, earliest target."""
         request = self.waiting[ticket]
-        late = now + self.mean_service_time > request.target_time
-        return (request.priority, late, request.target_time, ticket)
+        misses_target = now + self.mean_service_time > request.target_time
+        return (request.priority, misses_target, request.target_time, ticket)
 
     def timed_out(self, now):
         """Tickets of waiting statements that can't be answered by their deadline."""
--- a/packages/policy/gypsum_policy/ratelimit.py
+++ b/packages/policy/gypsum_policy/ratelimit.py
@@ -12,10 +12,9 @@
 is counted when given and used at once, so none is saved and none is returned. A new
 home doesn't know what another one granted: it starts with the tokens that accrued since
 it may have become home, and with `INITIAL_TOKENS`. A standby for a home starts with no
-accrued tokens.
-While a fleet is partitioned into parts that reach upstreams but not each other, each
-part has a home and grants the whole cap. A daemon that reaches no home grants its own
-share of what a cap tolerates, see `isolated_cap`.
+accrued tokens. While a fleet is partitioned into parts that reach upstreams but not
+each other, each part has a home and grants the whole cap. A daemon that reaches no home
+grants its own share of what a cap tolerates, see `isolated_cap`.
 """
 
 from dataclasses import dataclass
--- a/tests/policy/test_credentials.py
+++ b/tests/policy/test_credentials.py
@@ -1,4 +1,4 @@
-"""Whose configuration decides on a key, in every order of versions."""
+"""Which configuration decides whether a key is valid, in every order of versions."""
 
 import pytest
 
@@ -23,5 +23,5 @@
     assert is_credential_valid(KEY, version=version, holder=holder) is expected
 
 
-def test_who_needs_no_key_loses_none():
+def test_an_anonymous_credential_stays_valid():
     assert is_credential_valid(ANONYMOUS, version=9, holder=None)
--- a/tests/policy/test_draining.py
+++ b/tests/policy/test_draining.py
@@ -1,4 +1,4 @@
-"""What a daemon that leaves still takes, and who has to be ready to follow it."""
+"""What a draining daemon still accepts, and which standby replaces it."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -32,7 +32,7 @@
     assert plan.roll_back_at >= grace / 2
 
 
-def test_new_work_is_taken_until_the_notice_is_over():
+def test_new_work_is_accepted_until_the_notice_period_ends():
     assert accepts_work(
         PLAN, PLAN.notice_end - 0.1, opens_transaction=True, last_resort=False
     )
@@ -44,17 +44,17 @@
     )
 
 
-def test_single_statements_that_nobody_else_could_run_are_taken_to_the_end():
+def test_single_statements_that_nobody_else_can_run_are_accepted_to_the_end():
     assert accepts_work(PLAN, PLAN.answer_by, opens_transaction=False, last_resort=True)
 
 
-def test_no_transaction_is_opened_after_the_notice_whoever_asks():
+def test_no_transaction_is_opened_after_the_notice_period():
     assert not accepts_work(
         PLAN, PLAN.notice_end, opens_transaction=True, last_resort=True
     )
 
 
-def test_sessions_are_closed_in_turn_and_the_last_share_is_all():
+def test_sessions_are_closed_in_growing_shares_up_to_all():
     shares = [
         session_share_to_close(PLAN, PLAN.notice_end + n * 0.05, 0.05)
         for n in range(20)
@@ -63,27 +63,27 @@
     assert shares[0] < 0.1 and shares[-1] == 1
 
 
-def test_nobody_has_to_be_ready_while_an_owner_stays():
+def test_no_standby_is_needed_while_an_owner_stays():
     away = {"a", "b"}
     assert choose_standby(ORDER, owners=3, own="a", away=away) == ""
 
 
-def test_owners_that_all_leave_wake_one_daemon_each():
+def test_each_of_the_leaving_owners_picks_a_different_standby():
     away = {"a", "b", "c"}
-    woken = [choose_standby(ORDER, owners=3, own=own, away=away) for own in "abc"]
-    assert sorted(woken) == ["d", "e", "f"]
+    standbys = [choose_standby(ORDER, owners=3, own=own, away=away) for own in "abc"]
+    assert sorted(standbys) == ["d", "e", "f"]
 
 
-def test_a_daemon_that_owns_nothing_or_finds_nobody_wakes_nobody():
+def test_no_standby_from_a_daemon_that_is_no_owner_or_if_all_are_away():
     assert choose_standby(ORDER, owners=3, own="e", away={"a", "b", "c"}) == ""
     assert choose_standby(ORDER, owners=3, own="a", away=set(ORDER)) == ""
 
 
-def test_an_owner_has_to_try_when_others_could_not():
-    """Symptom: after a power loss of all statements go round all owners for nothing.
+def test_an_owner_must_try_when_others_could_not():
+    """Statements must not go round all owners for nothing.
 
-    Sequence: all owners have just started, each hands statements on to the next. Cause:
-    none of them had proven a primary yet, and none had to try.
+    After a power loss of all daemons no owner has proven a primary yet. Each hands
+    statements on to the next one, unless one of them must try.
     """
     assert not is_last_resort(asked_all=False, leaving=False, unable=MAX_HANDOFFS - 1)
     assert is_last_resort(asked_all=False, leaving=False, unable=MAX_HANDOFFS)
--- a/tests/policy/test_purity.py
+++ b/tests/policy/test_purity.py
@@ -1,4 +1,4 @@
-"""The policies stay free of I/O, clocks, loops and hidden randomness."""
+"""The policy modules import no I/O, clocks, event loops or randomness."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 from tests.test_core_imports import FORBIDDEN, imported_names
 
 
-def test_policies_import_nothing_that_does_io():
+def test_policy_modules_import_nothing_impure():
     folder = Path(gypsum_policy.__file__).parent
     for path in folder.glob("**/*.py"):
         for module, _ in imported_names(path):
--- a/tests/policy/test_revisions.py
+++ b/tests/policy/test_revisions.py
@@ -1,4 +1,4 @@
-"""Revisions over returns of the store from older copies."""
+"""Revisions of a store that is restored from older copies."""
 
 from gypsum_policy.relays import is_contiguous
 from gypsum_policy.revisions import (
@@ -16,7 +16,7 @@
     assert make_revision(1, 8) > make_revision(1, 7)
 
 
-def test_a_revision_tells_its_era_and_number():
+def test_a_revision_contains_its_era_and_number():
     revision = make_revision(3, 91)
     assert (era_of(revision), number_of(revision), format_revision(revision)) == (
         3,
@@ -28,12 +28,12 @@
     )
 
 
-def test_without_eras_a_revision_is_the_number():
+def test_without_eras_a_revision_is_the_stores_number():
     assert make_revision(0, 93) == number_of(93) == format_revision(93) == 93
 
 
-def test_nothing_follows_on_an_earlier_history():
-    """Guards against taking changes of a new history as the next of a lost one."""
+def test_changes_of_a_new_era_do_not_follow_on_an_earlier_one():
+    """Changes of a new history must not count as the next ones of the lost history."""
     known, since = make_revision(1, 93), make_revision(1, 90)
     assert is_contiguous(known, since, make_revision(1, 94))
     assert not is_contiguous(known, since, make_revision(2, 91))
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -1,4 +1,4 @@
-"""The order in which upstreams are asked for a read."""
+"""The order in which upstreams are tried for a read."""
 
 from dataclasses import replace
 
@@ -26,28 +26,28 @@
     return order_for_read(candidates, far_cost=0.002)
 
 
-def test_replicas_come_before_the_leader():
+def test_replicas_come_before_the_primary():
     assert order(replace(PLAIN, id="a", is_primary=True), replace(PLAIN, id="b")) == [
         "b",
         "a",
     ]
 
 
-def test_a_leader_is_asked_when_replicas_are_slower_by_more_than_a_statement():
+def test_the_primary_comes_first_if_replicas_are_slower_by_over_a_statement():
     slow = replace(PLAIN, id="b", expected_latency=0.2)
     assert order(replace(PLAIN, is_primary=True), slow) == ["a", "b"]
 
 
-def test_the_near_one_of_two_equals_is_asked():
+def test_the_nearer_of_two_equal_replicas_comes_first():
     assert order(replace(PLAIN, id="a", far=True), replace(PLAIN, id="b"))[0] == "b"
 
 
-def test_load_outweighs_nearness():
+def test_load_outweighs_distance():
     loaded = replace(PLAIN, id="a", outstanding=5)
     assert order(loaded, replace(PLAIN, id="b", far=True))[0] == "b"
 
 
-def test_failed_leaving_and_lagging_ones_come_last_but_come():
+def test_failed_leaving_and_lagging_upstreams_come_last():
     names = order(
         replace(PLAIN, id="a", avoided=True),
         replace(PLAIN, id="b", leaving=True),
@@ -74,23 +74,23 @@
         )
     )
 )
-def test_everybody_is_in_the_order_once(candidates):
+def test_the_order_contains_every_candidate_once(candidates):
     names = order(*candidates)
     assert sorted(names) == sorted(item.id for item in candidates)
 
 
-def test_a_replica_with_a_connection_at_hand_is_asked_first():
-    """Symptom: a workspace's reads open a connection at every replica in turn.
+def test_a_replica_with_an_idle_connection_comes_first():
+    """A workspace's reads must not open a connection at every replica in turn.
 
-    Sequence: two replicas are idle, one has a connection of the workspace. Cause: what
-    a new one costs did not count.
+    Of two idle replicas one has a connection of the workspace; the cost of a new
+    connection at the other has to count.
     """
     new = replace(PLAIN, id="a", connect_cost=0.012)
-    at_hand = replace(PLAIN, id="b")
-    assert order(new, at_hand) == ["b", "a"]
+    connected = replace(PLAIN, id="b")
+    assert order(new, connected) == ["b", "a"]
 
 
-def test_a_queue_longer_than_a_dial_is_left_for_a_new_connection():
+def test_a_new_connection_is_preferred_to_a_longer_queue():
     new = replace(PLAIN, id="a", connect_cost=0.012)
-    at_hand = replace(PLAIN, id="b", outstanding=5)
-    assert order(new, at_hand) == ["a", "b"]
+    connected = replace(PLAIN, id="b", outstanding=5)
+    assert order(new, connected) == ["a", "b"]
