--- a/packages/policy/gypsum_policy/draining.py
+++ b/packages/policy/gypsum_policy/draining.py
@@ -21,14 +21,14 @@
     second apart. Idle sessions are then closed one after the other until
     `close_sessions_by`, and no new callers are accepted from `stop_listening_at` on.
     Transactions that wait for their callers are rolled back at `roll_back_at`. Whatever
-    runs is answered by `answer_by`, and the process has to end by `exit_by`.
+    runs is answered by `answers_due`, and the process has to end by `exit_by`.
     """
 
     notice_end: float
     close_sessions_by: float
     stop_listening_at: float
     roll_back_at: float
-    answer_by: float
+    answers_due: float
     exit_by: float
 
 
@@ -43,7 +43,7 @@
         close_sessions_by=0.51 * grace,
         stop_listening_at=0.55 * grace,
         roll_back_at=0.75 * grace,
-        answer_by=0.9 * grace,
+        answers_due=0.9 * grace,
         exit_by=0.95 * grace,
     )
 
--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -29,7 +29,7 @@
     @property
     def answer_by(self):
         """When everything that runs has to be answered."""
-        return self.began + self.plan.answer_by
+        return self.began + self.plan.answers_due
 
     @property
     def opens_for(self):
--- a/tests/policy/test_draining.py
+++ b/tests/policy/test_draining.py
@@ -24,7 +24,7 @@
         plan.close_sessions_by,
         plan.stop_listening_at,
         plan.roll_back_at,
-        plan.answer_by,
+        plan.answers_due,
         plan.exit_by,
     ]
     assert phases == sorted(phases)
@@ -45,7 +45,9 @@
 
 
 def test_single_statements_that_nobody_else_can_run_are_accepted_to_the_end():
-    assert accepts_work(PLAN, PLAN.answer_by, opens_transaction=False, last_resort=True)
+    assert accepts_work(
+        PLAN, PLAN.answers_due, opens_transaction=False, last_resort=True
+    )
 
 
 def test_no_transaction_is_opened_after_the_notice_period():
