--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -200,7 +200,7 @@
     return 10_000
 
 
-def no_hurry(self, claim, now):
+def no_hurry(self, request, now):
     """Nobody is refused for the queue's length."""
     return 0.0
 
