--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -200,7 +200,7 @@
     return 10_000
 
 
-def no_hurry(self, claim, now):
+def no_hurry(self, request, now):
     """Nobody is refused for the queue's length."""
     return 0.0
 
@@ -212,7 +212,7 @@
 
 SWITCHES = {
     "change of the lead for the load": lambda: without(
-        (reasons, "worth_changing", lambda **seen: False)
+        (reasons, "should_hand_over", lambda **seen: False)
     ),
     "handover while the primary serves": lambda: without(
         (ReplicationControl, "spare_heir", no_heir)
@@ -223,12 +223,14 @@
     "refusal of a daemon that is cut off": lambda: without(
         (LeaderWatch, "cut_off", lambda self: False)
     ),
-    "limit of work at upstreams": lambda: without((group, "work_limit", any_limit)),
+    "limit of work at upstreams": lambda: without(
+        (group, "concurrency_limit", any_limit)
+    ),
     "refusal for the queue's length": lambda: without(
         (admission.WorkQueue, "expected_wait", no_hurry)
     ),
     "order by worth and urgency": lambda: without(
-        (admission.WorkQueue, "rank", all_alike)
+        (admission.WorkQueue, "sort_key", all_alike)
     ),
     "known lag of replicas": lambda: without(*tuned(lag_weight=0.0)),
     "slow reads asked elsewhere": lambda: without(*tuned(hedge_floor=NEVER)),
--- a/packages/policy/gypsum_policy/admission.py
+++ b/packages/policy/gypsum_policy/admission.py
@@ -1,11 +1,11 @@
-"""How much work an upstream is given at once, who comes next, and who is refused.
-
-Load pattern: more statements than a group's slots can run: a rush of callers, or
-replicas that lag, so that all reads fall on the primary. Without a limit the statements
-wait in the upstream's own queue, in the order of their arrival: it turns away what is
-over, every caller comes back, and all that is answered is late. With it they wait here:
-what can still be answered in time goes first, and what cannot be answered at all is
-refused while its caller has time to come back.
+"""Admission control for an upstream: concurrency limit, queue order and load shedding.
+
+Load pattern: more statements than a group's slots can run, from a burst of callers or
+from lagging replicas that leave all reads to the primary. Without a limit here, the
+statements wait in the upstream's own queue in order of arrival: it rejects the excess,
+all callers retry, and every answer that does come is late. With the limit they wait in
+this queue, which starts those that can still be answered in time first and refuses
+those that cannot be answered at all early enough for their callers to retry.
 """
 
 from dataclasses import dataclass
@@ -14,52 +14,53 @@
 from xxhash import xxh32_intdigest
 
 # Statements that all owners together have at an upstream for each of its slots. One
-# runs, the others keep the slot busy while answers and questions travel and the owners'
-# shares are uneven; with four of them the last one waits for three statements' time.
-AHEAD_PER_SLOT = 4
-# After an upstream's queue was full the limit is lower by one, for this long each,
-# seconds: longer than its queue takes to empty.
-LOWERED_FOR = 1.0
-# Callers are told to come back no sooner than this: a statement's time.
-LEAST_RETRY_MS = 30
-# ... and spread over this share of the queue's time.
-RETRY_SPREAD = 0.5
-# Weight of the newest statement in the mean time that one takes, and in the mean time
-# between two ends.
-MEAN_WEIGHT = 0.1
-PACE_WEIGHT = 0.2
-
-
-def retry_after_ms(wait, request):
-    """When a refused caller should come back: after the queue, each at its own time.
-
-    What goes wrong when all are told the same: they come back together, and the queue
-    is as long as before.
+# runs; the others keep the slot busy during network round trips and where the owners'
+# shares are uneven. With four, the last one waits for three statements to finish.
+OUTSTANDING_PER_SLOT = 4
+# Each rejection by an upstream with a full queue lowers the limit by one for this many
+# seconds, which is longer than its queue takes to empty.
+LIMIT_REDUCED_FOR = 1.0
+# Shortest retry delay sent to callers: about one statement's time.
+MIN_RETRY_MS = 30
+# Retry delays are spread over this fraction of the expected wait.
+RETRY_JITTER = 0.5
+# Weights of the newest sample in the moving averages of the service time and of the
+# interval between completions.
+SERVICE_TIME_WEIGHT = 0.1
+INTERVAL_WEIGHT = 0.2
+
+
+def retry_after_ms(wait, request_id):
+    """Milliseconds after which a refused caller should retry.
+
+    `wait` is the expected wait in seconds. The jitter depends on the request id: with
+    the same delay for all, the callers would retry together and the queue would be as
+    long as before.
     """
-    spread = xxh32_intdigest(request.encode()) % 1000 / 1000
-    return max(LEAST_RETRY_MS, round(wait * 1000 * (1 + RETRY_SPREAD * spread)))
+    spread = xxh32_intdigest(request_id.encode()) % 1000 / 1000
+    return max(MIN_RETRY_MS, round(wait * 1000 * (1 + RETRY_JITTER * spread)))
 
 
-def work_limit(slots, owners):
-    """Statements that one of several owners may have at an upstream at once."""
-    return 1 + -(-AHEAD_PER_SLOT * slots // max(1, owners))
+def concurrency_limit(slots, owners):
+    """Statements that each owner may have at an upstream at once."""
+    return 1 + -(-OUTSTANDING_PER_SLOT * slots // max(1, owners))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Claim:
-    """A statement that wants to run; times in seconds on one clock.
+class AdmissionRequest:
+    """A statement to be admitted; times in seconds on one clock.
 
-    A lower `priority` is worth more. `aim` is when its answer is due to be worth all,
-    `deadline` when it is worth nothing.
+    A lower `priority` number goes first. An answer after `target_time` misses the
+    route's latency target, one after `deadline` is useless to the caller.
     """
 
     priority: int
-    aim: float
+    target_time: float
     deadline: float
 
 
-class Hopeless(Exception):
-    """A statement cannot be answered in time; `wait` is when there is room again."""
+class QueueTimeout(Exception):
+    """A statement can't be answered in time; in `wait` seconds the queue has room."""
 
     def __init__(self, wait):
         super().__init__(f"the queue takes {wait:.3f} s")
@@ -67,112 +68,120 @@
 
 
 class WorkQueue:
-    """The statements of one owner for one upstream: some under way, others waiting.
+    """One owner's statements for one upstream, running and waiting.
 
-    `mean` is the mean time in seconds from a statement's start to its answer, `pace`
-    that between two ends while others wait: it tells how long a queue takes whatever
-    holds it up, slots, connections or other owners.
+    `mean_service_time` is the mean time in seconds from a statement's start to its
+    answer. `completion_interval` is the mean time between two completions while others
+    wait: it gives the queue's speed whatever the bottleneck is, slots, connections or
+    other owners.
     """
 
-    def __init__(self, *, limit, mean):
+    def __init__(self, *, limit, mean_service_time):
         self.limit = limit
-        self.mean = mean
-        self.pace = mean / limit
-        self.ended_at = None
+        self.mean_service_time = mean_service_time
+        self.completion_interval = mean_service_time / limit
+        self.finished_at = None
         self.running = 0
         self.waiting = {}
-        self.pressed_since = None
-        self.tickets = count()
-        self.lowered = []
+        self.backlogged_since = None
+        self.ticket_numbers = count()
+        self.reductions = []
 
     def limit_at(self, now):
-        """The limit, lower where the upstream has turned work away of late."""
-        self.lowered = [until for until in self.lowered if until > now]
-        return max(1, self.limit - len(self.lowered))
+        """The concurrency limit, lowered by the upstream's recent rejections."""
+        self.reductions = [until for until in self.reductions if until > now]
+        return max(1, self.limit - len(self.reductions))
 
-    def turned_away(self, now):
-        """The upstream's queue was full."""
-        if len(self.lowered) < self.limit - 1:
-            self.lowered.append(now + LOWERED_FOR)
+    def record_rejection(self, now):
+        """Lower the limit for a while: the upstream's queue was full."""
+        if len(self.reductions) < self.limit - 1:
+            self.reductions.append(now + LIMIT_REDUCED_FOR)
 
-    def enter(self, claim, now):
-        """A ticket for a statement that has to wait, None for one that may start.
+    def admit(self, request, now):
+        """Return a ticket for a statement that has to wait, None for one that starts.
 
-        Raises Hopeless for one that would not be answered in time.
+        Raises QueueTimeout for one that would not be answered in time.
         """
         if self.has_room(now):
             self.running += 1
             return None
-        wait = self.expected_wait(claim, now)
-        if now + wait + self.mean > claim.deadline:
-            raise Hopeless(self.expected_wait(None, now))
-        ticket = next(self.tickets)
+        wait = self.expected_wait(request, now)
+        if now + wait + self.mean_service_time > request.deadline:
+            raise QueueTimeout(self.expected_wait(None, now))
+        ticket = next(self.ticket_numbers)
         if not self.waiting:
-            self.pressed_since = now
-        self.waiting[ticket] = claim
+            self.backlogged_since = now
+        self.waiting[ticket] = request
         return ticket
 
-    def join(self):
-        """A statement that may not wait, as its transaction is open, starts."""
+    def start_unqueued(self):
+        """Start a statement that must not wait since its transaction is open."""
         self.running += 1
 
-    def done(self, now, seconds=None):
-        """A statement has ended, after so many seconds if it was answered."""
+    def finish(self, now, seconds=None):
+        """Record the end of a statement; `seconds` is its time if it was answered."""
         self.running -= 1
         if seconds is not None:
-            self.mean += MEAN_WEIGHT * (seconds - self.mean)
-        if self.ended_at is not None and self.waiting:
-            self.pace += PACE_WEIGHT * (now - self.ended_at - self.pace)
-        self.ended_at = now if self.waiting else None
+            self.mean_service_time += SERVICE_TIME_WEIGHT * (
+                seconds - self.mean_service_time
+            )
+        if self.finished_at is not None and self.waiting:
+            self.completion_interval += INTERVAL_WEIGHT * (
+                now - self.finished_at - self.completion_interval
+            )
+        self.finished_at = now if self.waiting else None
 
-    def leave(self, ticket):
-        """Whoever waited does so no more."""
+    def withdraw(self, ticket):
+        """Remove a waiting statement."""
         self.waiting.pop(ticket, None)
 
     def start_next(self, now, among):
-        """The ticket among some that may start now, or None; it counts as running."""
-        able = [ticket for ticket in self.waiting if ticket in among]
-        if not able or self.running >= self.limit_at(now):
+        """Start the next of the tickets in `among` and return it; None if none may."""
+        startable = [ticket for ticket in self.waiting if ticket in among]
+        if not startable or self.running >= self.limit_at(now):
             return None
-        ticket = min(able, key=lambda item: self.rank(item, now))
+        ticket = min(startable, key=lambda item: self.sort_key(item, now))
         del self.waiting[ticket]
         self.running += 1
         return ticket
 
-    def rank(self, ticket, now):
-        """Order of those that wait: worth, then what can be in time, then urgency."""
-        claim = self.waiting[ticket]
-        late = now + self.mean > claim.aim
-        return (claim.priority, late, claim.aim, ticket)
+    def sort_key(self, ticket, now):
+        """Order of waiting statements: priority, still on target, earliest target."""
+        request = self.waiting[ticket]
+        misses_target = now + self.mean_service_time > request.target_time
+        return (request.priority, misses_target, request.target_time, ticket)
 
-    def hopeless(self, now):
-        """Tickets that cannot be answered in time any more."""
+    def timed_out(self, now):
+        """Tickets of waiting statements that can't be answered by their deadline."""
         return [
             ticket
-            for ticket, claim in self.waiting.items()
-            if now + self.mean > claim.deadline
+            for ticket, request in self.waiting.items()
+            if now + self.mean_service_time > request.deadline
         ]
 
-    def expected_wait(self, claim, now):
-        """Seconds until a claim starts; with None, until all that wait have started."""
+    def expected_wait(self, request, now):
+        """Seconds until a request starts; None: until all waiting ones have started."""
         ahead = len(self.waiting)
-        if claim is not None:
+        if request is not None:
             ahead = sum(
-                other.priority < claim.priority
-                or (other.priority == claim.priority and other.aim <= claim.aim)
+                other.priority < request.priority
+                or (
+                    other.priority == request.priority
+                    and other.target_time <= request.target_time
+                )
                 for other in self.waiting.values()
             )
-        return (ahead + 1) * self.pace
+        return (ahead + 1) * self.completion_interval
 
-    def pressed_for(self, now):
-        """Seconds for which statements have waited here without a break."""
-        return now - self.pressed_since if self.waiting else 0.0
+    def backlogged_for(self, now):
+        """Seconds for which the queue has been non-empty without a break."""
+        return now - self.backlogged_since if self.waiting else 0.0
 
     @property
     def load(self):
-        """Statements under way and waiting."""
+        """Number of running and waiting statements."""
         return self.running + len(self.waiting)
 
     def has_room(self, now):
-        """Tell whether a statement would start at once."""
+        """Whether a statement would start at once."""
         return not self.waiting and self.running < self.limit_at(now)
--- /dev/null
+++ b/packages/policy/gypsum_policy/promotion.py
@@ -0,0 +1,66 @@
+"""Which member of a group to promote, and when to hand over because of load.
+
+Load pattern: the primary is dead, cut off or leaving while commits are in flight. All
+its replicas have been paused, so the longest log holds every acknowledged commit.
+
+Second pattern: all replicas lag far behind, every read goes to the primary, and its
+queue is longer than what can be answered in time. A replica has received log that it
+hasn't applied yet, and has all of it once it is primary; the old primary then is an up
+to date replica. A handover therefore doubles the group's capacity at once instead of
+when the replicas have caught up.
+"""
+
+# Replicas that have refused all reads for this many seconds lag for longer: one that is
+# about to catch up does so within a second.
+LAGGING_AFTER = 1.0
+# The primary's queue must have been non-empty for this many seconds: a burst that it
+# can handle is over sooner.
+BACKLOGGED_AFTER = 0.5
+# No handover because of load within this many seconds of a takeover: one that didn't
+# help isn't followed by others.
+HANDOVER_COOLDOWN = 6.0
+
+
+def should_hand_over(*, lagging_for, backlogged_for, since_takeover):
+    """Whether to hand over to a replica because all replicas lag; times in seconds.
+
+    `lagging_for`: time for which no replica has answered a read, though asked.
+    `backlogged_for`: time for which statements have waited at the primary.
+    `since_takeover`: time since the primary took over or a takeover was tried.
+    """
+    return (
+        lagging_for >= LAGGING_AFTER
+        and backlogged_for >= BACKLOGGED_AFTER
+        and since_takeover >= HANDOVER_COOLDOWN
+    )
+
+
+def choose_handover_target(candidates):
+    """The replica to promote while the primary still serves; "" if none stays."""
+    staying = [item for item in candidates if not item.leaving]
+    if not staying:
+        return ""
+    best = max(staying, key=lambda item: (item.status.received, item.upstream))
+    return best.upstream
+
+
+def choose_promotion_target(paused, pending=""):
+    """The member to promote: the one with the longest log, preferably one that stays.
+
+    `pending` is the member of a promotion order that got no answer. It is chosen again
+    if it has stayed paused since or its log is as long as any: if two orders for
+    different members both took effect, the second one would lose what the first member
+    acknowledged as primary.
+    """
+    if any(item.upstream == pending and item.held_before for item in paused):
+        return pending
+    best = max(
+        paused,
+        key=lambda item: (
+            item.status.received,
+            item.upstream == pending,
+            not item.leaving,
+            item.upstream,
+        ),
+    )
+    return best.upstream
--- a/packages/policy/gypsum_policy/routing.py
+++ b/packages/policy/gypsum_policy/routing.py
@@ -1,54 +1,57 @@
-"""Which upstreams a read is sent to, and in which order. No I/O, no state."""
+"""Order in which upstreams are tried for a read. No I/O, no state."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Candidate:
-    """An upstream that a read may go to, with what decides about it.
+    """An upstream that may run a read, with the properties that rank it.
 
-    `expected` is its mean time in seconds, `ahead` the statements of this daemon
-    that it works on; `slots` is what it works on at once. `opening` is what a new
-    connection costs there in seconds, 0 if one of the caller's workspace is idle.
+    `expected_latency` is the mean time of a statement in seconds, `outstanding` the
+    number of this daemon's statements there, `slots` how many it runs at once.
+    `connect_cost` is the time in seconds that a new connection takes, 0 if the
+    caller's workspace has an idle one. `far`: it is in another failure domain.
+    `avoided`: it failed a moment ago. `saturated`: a statement would have to queue.
     """
 
     id: str
-    expected: float
-    ahead: int
+    expected_latency: float
+    outstanding: int
     slots: int
-    leads: bool
+    is_primary: bool
     far: bool
     leaving: bool
     avoided: bool
     lagging: bool
-    full: bool
-    opening: float = 0.0
+    saturated: bool
+    connect_cost: float = 0.0
 
 
 def order_for_read(candidates, *, far_cost):
     """Candidate ids, the best first.
 
-    Replicas come before the leader, whose slots are needed for writes, unless they
-    are about to be slower by a whole statement. Upstreams that failed or leave come
-    last: they are a last resort, not excluded, so that a read is refused only when
-    nobody can run it.
+    Replicas come before the primary, whose slots are needed for writes, unless they are
+    expected to be slower by a whole statement. Upstreams that failed or leave come last
+    instead of being excluded, so that a read is refused only when none can run it.
     """
-    ranked = sorted(candidates, key=lambda item: rank(item, far_cost))
+    ranked = sorted(candidates, key=lambda item: sort_key(item, far_cost))
     return [item.id for item in ranked]
 
 
-def rank(item, far_cost):
-    """Sorting key of one candidate.
+def sort_key(item, far_cost):
+    """Sort key of one candidate.
 
-    A connection at hand counts as the time that a new one takes. What goes wrong
-    without it: a workspace's reads go round all replicas, and push other workspaces'
-    connections out at each.
+    It includes the cost of a new connection. Otherwise the reads of a workspace rotate
+    over all replicas and evict other workspaces' connections at each of them.
     """
-    delay = item.expected * (1 + item.ahead / max(1, item.slots)) + item.opening
-    if item.full:
-        delay += item.expected
-    if item.leads:
-        delay += item.expected
+    delay = (
+        item.expected_latency * (1 + item.outstanding / max(1, item.slots))
+        + item.connect_cost
+    )
+    if item.saturated:
+        delay += item.expected_latency
+    if item.is_primary:
+        delay += item.expected_latency
     if item.far:
         delay += far_cost
     return (item.avoided, item.leaving, item.lagging, delay, item.id)
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from gypsum_policy.admission import work_limit
+from gypsum_policy.admission import concurrency_limit
 from gypsum_policy.ownership import share_after_start
 from gypsum_policy.routing import Candidate
 from gypsum_sessions.borders import Clock, Dialer, EventLog
@@ -121,7 +121,9 @@
 
     def work_limit(self, member):
         """Statements that this daemon may have at an upstream at once."""
-        return work_limit(member.slots, self.around.daemons.owner_count(self.spec))
+        return concurrency_limit(
+            member.slots, self.around.daemons.owner_count(self.spec)
+        )
 
     def has_connection(self, *, writes, soon=False):
         """Tell whether a transaction can be opened without waiting for a connection.
@@ -206,16 +208,16 @@
         member = item.member
         return Candidate(
             id=item.id,
-            expected=item.mean,
-            ahead=item.turns.queue.load,
+            expected_latency=item.mean,
+            outstanding=item.turns.queue.load,
             slots=member.slots,
-            leads=item.id == self.watch.leader,
+            is_primary=item.id == self.watch.leader,
             far=member.domain != self.around.domain,
             leaving=not member.stays,
             avoided=now < item.avoid_until,
             lagging=now < item.lagging_until,
-            full=not item.turns.queue.has_room(now),
-            opening=item.pool.opening_cost(workspace),
+            saturated=not item.turns.queue.has_room(now),
+            connect_cost=item.pool.opening_cost(workspace),
         )
 
     def takeover_under_way(self):
