--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -64,7 +64,7 @@
         await rig.settle()
         told, proxy = [], rig.proxies[0]
         rig.cut(proxy, "u1")
-        rig.loop.call_later(6.0, proxy.around.dialer.dialer.cut.clear)
+        rig.loop.call_later(6.0, proxy.context.dialer.dialer.cut.clear)
         await write_for(rig, proxy, 6.0, told)
         return len([1 for _, refusal, _ in told if refusal is None]) / 6.0
 
--- a/packages/core/gypsum_core/failover.py
+++ b/packages/core/gypsum_core/failover.py
@@ -26,7 +26,7 @@
     PROMOTE = "promote"
 
 
-class Surroundings(Protocol):
+class GroupContext(Protocol):
     """What the machine asks of the home that owns it."""
 
     def monitors(self) -> list[str]:
@@ -53,7 +53,7 @@
 class Failover:
     """Watches one group's primary and replaces it when it is out of service."""
 
-    def __init__(self, *, ctx, database, view, home: Surroundings):
+    def __init__(self, *, ctx, database, view, home: GroupContext):
         self.ctx = ctx
         self.database = database
         self.view = view
--- a/packages/sessions/gypsum_sessions/callers/access.py
+++ b/packages/sessions/gypsum_sessions/callers/access.py
@@ -61,7 +61,7 @@
             return None
         return RemoteAccess(
             spec=self.group.spec,
-            around=self.group.around,
+            context=self.group.context,
             peers=self.reach.peers,
             helpers=helpers,
         )
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -31,9 +31,9 @@
     With `helpers` only those are asked, once, as long as they know of a primary.
     """
 
-    def __init__(self, *, spec, around, peers, helpers=()):
+    def __init__(self, *, spec, context, peers, helpers=()):
         self.spec = spec
-        self.around = around
+        self.context = context
         self.peers = peers
         self.helpers = helpers
 
@@ -59,8 +59,8 @@
         What goes wrong when all are asked just once: all daemons come back together,
         the owners a moment after the others, whose callers are all turned away.
         """
-        clock = self.around.clock
-        until = clock() + job.left(clock) * self.around.tuning.leader_wait_share
+        clock = self.context.clock
+        until = clock() + job.left(clock) * self.context.tuning.leader_wait_share
         asked_all = False
         while True:
             reply = await self.run_round(job, repeats=repeats, asked_all=asked_all)
@@ -70,17 +70,17 @@
                 return None
             asked_all = True
             if clock() + ROUND_PAUSE >= until:
-                return no_owner(job, self.around.tuning)
+                return no_owner(job, self.context.tuning)
             await asyncio.sleep(ROUND_PAUSE)
 
     async def run_round(self, job, *, repeats, asked_all):
         """Ask each owner once; the first reply, None if nobody could run it."""
         unable = 0
         for name in self.owners(job.workspace):
-            if job.left(self.around.clock) <= 0:
+            if job.left(self.context.clock) <= 0:
                 break
             try:
-                link = await self.peers.link(name, job.left(self.around.clock))
+                link = await self.peers.link(name, job.left(self.context.clock))
                 if not repeats:
                     await link.try_out()
                 answer = await self.ask(
@@ -91,7 +91,7 @@
                 if exc.sent:
                     job.may_have_run = True
                     job.leftovers.add(
-                        asyncio.create_task(asyncio.sleep(job.left(self.around.clock)))
+                        asyncio.create_task(asyncio.sleep(job.left(self.context.clock)))
                     )
                 if exc.sent and not repeats:
                     return in_doubt(exc)
@@ -117,7 +117,7 @@
         """Names of the owners to ask for a workspace's work, the best first."""
         if self.helpers:
             return self.helpers
-        daemons = self.around.daemons
+        daemons = self.context.daemons
         count = daemons.owner_count(self.spec)
         names = daemons.order(self.spec.name, count * STAND_INS)
         return self.peers.in_turn(names, count, self.spec.name, workspace)
@@ -125,7 +125,7 @@
     async def ask(self, link, job, **how):
         """Ask one owner; raises PeerLost. `how` are fields of Ask."""
         job.owner = link.peer
-        left = job.left(self.around.clock)
+        left = job.left(self.context.clock)
         return await link.ask_timed(
             lambda call: Ask(
                 call=call,
@@ -148,7 +148,7 @@
     def note_lost(self, job, name, exc):
         """Log an owner that gave no answer."""
         job.tried.append(name)
-        self.around.log(
+        self.context.log(
             PART,
             "owner lost",
             request=job.request,
@@ -221,8 +221,8 @@
 
         Raises PeerLost if there is none, or if the one that was asked is lost.
         """
-        clock = self.access.around.clock
-        share = self.access.around.tuning.leader_wait_share
+        clock = self.access.context.clock
+        share = self.access.context.tuning.leader_wait_share
         until = clock() + job.left(clock) * share
         asked_all = False
         while clock() < until:
@@ -253,7 +253,7 @@
         """Take the link to an owner if it works; tell whether it does."""
         try:
             link = await self.access.peers.link(
-                name, job.left(self.access.around.clock)
+                name, job.left(self.access.context.clock)
             )
             await link.try_out()
         except PeerLost as exc:
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -33,17 +33,17 @@
     """
     if not group.spec.sync_replicas:
         return True
-    around = group.around
-    until = around.clock() + patience
+    context = group.context
+    until = context.clock() + patience
     evidence = Evidence.UNKNOWN
     while position is not None:
         evidence = await find_evidence(group, position, leader)
         if evidence is Evidence.HELD:
             return True
-        if around.clock() + around.tuning.confirm_again >= until:
+        if context.clock() + context.tuning.confirm_again >= until:
             break
-        await asyncio.sleep(around.tuning.confirm_again)
-    around.log(
+        await asyncio.sleep(context.tuning.confirm_again)
+    context.log(
         PART,
         "commit not confirmed",
         group=group.name,
@@ -65,9 +65,9 @@
     """
     if not group.spec.sync_replicas:
         return True
-    until = group.around.clock() + patience
-    while not known_replicas(group, leader) and group.around.clock() < until:
-        await asyncio.sleep(group.around.tuning.confirm_for)
+    until = group.context.clock() + patience
+    while not known_replicas(group, leader) and group.context.clock() < until:
+        await asyncio.sleep(group.context.tuning.confirm_for)
     replicas = known_replicas(group, leader)
     if any(item.askable for item in replicas):
         return True
@@ -84,9 +84,9 @@
     received takes a slot: so the second is asked only of those that lag, at once where
     they were seen to.
     """
-    tuning = group.around.tuning
+    tuning = group.context.tuning
     replicas = known_replicas(group, leader)
-    until = group.around.clock() + tuning.confirm_for
+    until = group.context.clock() + tuning.confirm_for
     quick = [item for item in replicas if item.lag < tuning.confirm_for]
     found = await gather_evidence(
         group, quick, lambda item: poll_applied(group, item, position, until)
@@ -110,7 +110,7 @@
     What goes wrong when all are asked at once: every commit takes a slot of each.
     """
     ranked = sorted(replicas, key=lambda item: (item.turns.queue.load, item.mean))
-    pause = group.around.tuning.confirm_hedge
+    pause = group.context.tuning.confirm_hedge
     found = []
 
     async def ask_after(item):
@@ -130,7 +130,7 @@
     primary. Where all leave, their word is better than none. One that is not listed
     now may be unknown to a takeover that reads the list now.
     """
-    board = group.around.board
+    board = group.context.board
     known = [
         item
         for item in group.upstreams.values()
@@ -150,7 +150,7 @@
     """
     tasks = {asyncio.create_task(question(item)): item.id for item in replicas}
     found = dict.fromkeys(tasks.values(), Evidence.UNKNOWN)
-    tuning, clock = group.around.tuning, group.around.clock
+    tuning, clock = group.context.tuning, group.context.clock
     until = clock() + tuning.confirm_for + tuning.confirm_margin
     pending = set(tasks)
     while pending and Evidence.HELD not in found.values():
@@ -167,7 +167,7 @@
 
 async def poll_applied(group, item, position, until):
     """Ask a replica again until it has applied the position or time is up."""
-    tuning, clock = group.around.tuning, group.around.clock
+    tuning, clock = group.context.tuning, group.context.clock
     if item.unreachable and clock() < item.avoid_until:
         return Evidence.UNKNOWN
     began = clock()
@@ -185,23 +185,23 @@
 
 async def ask_one(group, item, position, question):
     """What one replica says of a position."""
-    around = group.around
+    context = group.context
     try:
         pooled = await item.pool.acquire(
-            values={}, timeout=around.tuning.ping_timeout, first=True, oldest=True
+            values={}, timeout=context.tuning.ping_timeout, first=True, oldest=True
         )
         try:
-            if not around.board.trusts(group.name, pooled.opened_at):
+            if not context.board.trusts(group.name, pooled.opened_at):
                 return Evidence.UNKNOWN
-            evidence = await question(item, pooled.conn, position, around.tuning)
+            evidence = await question(item, pooled.conn, position, context.tuning)
         finally:
             item.pool.release(pooled)
-        item.heard(around.clock())
+        item.heard(context.clock())
         return evidence
     except UpstreamError as exc:
         item.unreachable = item.unreachable or not is_ours(exc)
-        item.failed(exc, around.clock(), around.tuning)
-        around.log(PART, "replica not asked", upstream=item.id, error=str(exc))
+        item.failed(exc, context.clock(), context.tuning)
+        context.log(PART, "replica not asked", upstream=item.id, error=str(exc))
         return Evidence.UNKNOWN
 
 
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -48,12 +48,12 @@
 
 async def find_floor(group, job):
     """Set the position that the job's read has to show; False if none is proven."""
-    around = group.around
-    wait = job.left(around.clock) * around.tuning.leader_wait_share
+    context = group.context
+    wait = job.left(context.clock) * context.tuning.leader_wait_share
     floor = await group.watch.floor_since(job.arrived - job.route.max_age, wait)
     if floor is None:
         return False
-    job.floor_age = around.clock() - floor.asked_at
+    job.floor_age = context.clock() - floor.asked_at
     job.floor = later(floor.position, job.own_floor)
     return True
 
@@ -61,10 +61,10 @@
 async def run_read(group, job):
     """Run a read wherever it lawfully may; returns the caller's reply."""
     if not await find_floor(group, job):
-        return no_leader(group.around.tuning)
-    while job.left(group.around.clock) > 0:
+        return no_leader(group.context.tuning)
+    while job.left(group.context.clock) > 0:
         if not group.candidates():
-            return no_leader(group.around.tuning)
+            return no_leader(group.context.tuning)
         attempt = await race(group, job)
         if attempt is not None and attempt.final:
             job.served_by = attempt.upstream
@@ -98,7 +98,7 @@
             running |= start_attempt(group, job, upstream)
         if not running:
             continue
-        wait = hedge_delay(group, job) if order else job.left(group.around.clock)
+        wait = hedge_delay(group, job) if order else job.left(group.context.clock)
         done, _ = await asyncio.wait(
             running, timeout=wait, return_when=asyncio.FIRST_COMPLETED
         )
@@ -108,7 +108,7 @@
             if last.final:
                 leave_running(group, job, running)
                 return last
-        if job.left(group.around.clock) <= 0:
+        if job.left(group.context.clock) <= 0:
             break
     leave_running(group, job, running)
     return last
@@ -120,7 +120,7 @@
     What goes wrong when a slow read is asked elsewhere whatever waits there: under a
     load that all feel, every read is run twice, and nothing is answered any more.
     """
-    now = group.around.clock()
+    now = group.context.clock()
     for upstream in order if not must else order[:1]:
         item = group.upstreams.get(upstream)
         if must or (item is not None and item.turns.queue.has_room(now)):
@@ -170,7 +170,7 @@
 def upstream_order(group, job):
     """Upstreams in the order in which they are asked."""
     order = order_for_read(
-        group.candidates(job.workspace), far_cost=group.around.tuning.far_cost
+        group.candidates(job.workspace), far_cost=group.context.tuning.far_cost
     )
     if job.route.rule is ReadRule.PRIMARY and group.watch.leader in order:
         order.remove(group.watch.leader)
@@ -180,11 +180,11 @@
 
 def hedge_delay(group, job):
     """Seconds after which a second upstream is asked as well."""
-    tuning = group.around.tuning
+    tuning = group.context.tuning
     last = group.upstreams.get(job.tried[-1]) if job.tried else None
     mean = last.mean if last else tuning.first_mean
     delay = max(tuning.hedge_floor, tuning.hedge_factor * mean)
-    return min(delay, job.left(group.around.clock))
+    return min(delay, job.left(group.context.clock))
 
 
 async def attempt_read(group, job, item, turn):
@@ -193,7 +193,7 @@
         async with turn:
             if job.over:
                 return Attempt(upstream=item.id, reply=None, detail="answered before")
-            if not group.around.catalog.stands(job.credential):
+            if not group.context.catalog.stands(job.credential):
                 return Attempt(upstream=item.id, reply=withdrawn())
             return await attempt_now(group, job, item)
     except Hopeless as exc:
@@ -202,15 +202,15 @@
 
 async def attempt_now(group, job, item):
     """Ask one upstream now."""
-    around, clock = group.around, group.around.clock
+    context, clock = group.context, group.context.clock
     try:
         pooled = await item.pool.acquire(
             values=job.values,
-            timeout=job.left(clock) or around.tuning.ping_timeout,
+            timeout=job.left(clock) or context.tuning.ping_timeout,
             workspace=job.workspace,
         )
     except UpstreamError as exc:
-        item.failed(exc, clock(), around.tuning)
+        item.failed(exc, clock(), context.tuning)
         return Attempt(upstream=item.id, reply=None, detail=str(exc))
     try:
         reply = await ask_read(group, job, item, pooled)
@@ -218,9 +218,9 @@
         pooled.conn.close()
         raise
     except UpstreamError as exc:
-        item.failed(exc, clock(), around.tuning)
+        item.failed(exc, clock(), context.tuning)
         group.watch.doubt(item.id)
-        around.log(
+        context.log(
             PART,
             "attempt failed",
             request=job.request,
@@ -238,13 +238,13 @@
 
     None if it is not needed any more.
     """
-    around, clock = group.around, group.around.clock
+    context, clock = group.context, group.context.clock
     await bring_level(
         pooled,
         job.values,
         job.prepared,
-        timeout=around.tuning.command_timeout,
-        prepared_limit=around.tuning.prepared_limit,
+        timeout=context.tuning.command_timeout,
+        prepared_limit=context.tuning.prepared_limit,
     )
     if job.over:
         # Answered elsewhere while this attempt waited for its connection. What goes
@@ -253,24 +253,24 @@
     started = clock()
     reply = await pooled.conn.ask(
         job.statement,
-        timeout=max(job.left(clock), around.tuning.ping_timeout),
+        timeout=max(job.left(clock), context.tuning.ping_timeout),
         request=job.request,
         after=job.floor,
     )
     if reply.ok:
-        item.answered(clock() - started, reply.position, clock(), around.tuning)
-    note_refusal(around, item, pooled, reply)
+        item.answered(clock() - started, reply.position, clock(), context.tuning)
+    note_refusal(context, item, pooled, reply)
     return reply
 
 
-def note_refusal(around, item, pooled, reply):
+def note_refusal(context, item, pooled, reply):
     """Draw conclusions from a refused read."""
     if reply.refusal is Refusal.LAGGING:
-        item.lacked(around.clock(), around.tuning)
+        item.lacked(context.clock(), context.tuning)
     if reply.refusal is Refusal.UNKNOWN_NAME:
         pooled.dirty = True
     if reply.refusal is Refusal.BUSY:
-        item.turns.queue.turned_away(around.clock())
+        item.turns.queue.turned_away(context.clock())
 
 
 def overloaded(job, wait):
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -84,7 +84,7 @@
             return overloaded(job, exc.wait)
         except Withdrawn:
             return withdrawn()
-        if refused is None or job.left(group.around.clock) <= 0:
+        if refused is None or job.left(group.context.clock) <= 0:
             return refused
         if tx.pooled is None and refused.refusal is not Refusal.LAGGING:
             return refused
@@ -93,26 +93,26 @@
 
 async def open_writing(group, tx, job):
     """BEGIN at the leader; the upstream refuses if it does not lead."""
-    around, clock = group.around, group.around.clock
-    wait_until = clock() + job.left(clock) * around.tuning.leader_wait_share
+    context, clock = group.context, group.context.clock
+    wait_until = clock() + job.left(clock) * context.tuning.leader_wait_share
     while clock() < wait_until:
         item = await group.wait_writable(wait_until - clock())
         if item is None:
             break
         patience = wait_until - clock()
         if not await can_confirm(group, item.id, patience=patience):
-            return unconfirmable(around.tuning)
+            return unconfirmable(context.tuning)
         if await begin_at(group, tx, job, item, BEGIN_WRITING):
             return None
         group.watch.doubt(item.id)
         await asyncio.sleep(BUSY_PAUSE)
-    return no_leader(around.tuning)
+    return no_leader(context.tuning)
 
 
 async def open_reading(group, tx, job):
     """BEGIN READ at whichever upstream has the floor."""
     if not await find_floor(group, job):
-        return no_leader(group.around.tuning)
+        return no_leader(group.context.tuning)
     for upstream in upstream_order(group, job):
         item = group.upstreams.get(upstream)
         if item is None:
@@ -122,7 +122,7 @@
     return Reply(
         refusal=Refusal.LAGGING,
         detail="not run, no upstream has the position yet",
-        retry_after_ms=group.around.tuning.busy_retry_after_ms,
+        retry_after_ms=group.context.tuning.busy_retry_after_ms,
     )
 
 
@@ -134,37 +134,37 @@
     """
     job.tried.append(item.id)
     async with item.turns.enter(job.claim()):
-        if not group.around.catalog.stands(job.credential):
+        if not group.context.catalog.stands(job.credential):
             raise Withdrawn
         return await begin_now(group, tx, job, item, statement, after)
 
 
 async def begin_now(group, tx, job, item, statement, after):
     """Open the transaction at one upstream; tell whether it is open."""
-    around, clock = group.around, group.around.clock
+    context, clock = group.context, group.context.clock
     try:
         pooled = await take_live(group, item, job)
     except NotSent as exc:
-        item.failed(exc.__cause__, clock(), around.tuning)
-        around.log(PART, "not begun", request=job.request, error=str(exc))
+        item.failed(exc.__cause__, clock(), context.tuning)
+        context.log(PART, "not begun", request=job.request, error=str(exc))
         return False
     try:
         await level(group, job, pooled)
         pooled.in_transaction = True
         reply = await pooled.conn.ask(
-            statement, timeout=around.tuning.command_timeout, after=after
+            statement, timeout=context.tuning.command_timeout, after=after
         )
     except UpstreamError as exc:
-        item.failed(exc, clock(), around.tuning)
+        item.failed(exc, clock(), context.tuning)
         pooled.conn.close()
         item.pool.release(pooled)
-        around.log(PART, "not begun", request=job.request, error=str(exc))
+        context.log(PART, "not begun", request=job.request, error=str(exc))
         return False
     if reply.ok:
         tx.pooled, tx.pool, tx.upstream = pooled, item.pool, item.id
         return True
     if reply.refusal is Refusal.LAGGING:
-        item.lacked(clock(), around.tuning)
+        item.lacked(clock(), context.tuning)
     await finish(group, item.pool, pooled)
     return False
 
@@ -205,7 +205,7 @@
 
 async def ask_until_run(group, tx, job):
     """Send a statement, again while the upstream's queue is full."""
-    clock = group.around.clock
+    clock = group.context.clock
     while True:
         started = clock()
         reply = await tx.pooled.conn.ask(
@@ -215,7 +215,7 @@
             item = group.upstreams.get(tx.upstream)
             if item is not None:
                 item.answered(
-                    clock() - started, reply.position, clock(), group.around.tuning
+                    clock() - started, reply.position, clock(), group.context.tuning
                 )
             return reply
         open_still = reply.state is SessionState.IN_TRANSACTION
@@ -236,21 +236,21 @@
         if refused is not None:
             return refused
     job.tried, job.served_by = [tx.upstream], tx.upstream
-    patience = job.left(group.around.clock) * group.around.tuning.leader_wait_share
+    patience = job.left(group.context.clock) * group.context.tuning.leader_wait_share
     if tx.wrote and not await can_confirm(group, tx.upstream, patience=patience):
         await close(group, tx)
         return aborted("no replica can be asked")
-    asked_at = group.around.clock()
+    asked_at = group.context.clock()
     number = group.stall.begin(asked_at) if tx.wrote else 0
     try:
         async with joined(group, tx):
             reply = await ask_until_run(group, tx, job)
         if number:
-            group.stall.end(number, group.around.clock())
+            group.stall.end(number, group.context.clock())
     except UpstreamError as exc:
         group.watch.doubt(tx.upstream)
         await abandon(group, tx)
-        group.around.log(
+        group.context.log(
             PART,
             "commit unanswered",
             request=job.request,
@@ -267,7 +267,7 @@
     if reply.ok:
         if not tx.wrote:
             return reply
-        left = job.left(group.around.clock)
+        left = job.left(group.context.clock)
         if not await is_safe(group, reply.position, tx.upstream, patience=left):
             return unconfirmed()
         if reply.position is not None:
@@ -312,9 +312,9 @@
     """Roll back if needed, then release."""
     try:
         if pooled.alive and pooled.in_transaction:
-            await roll_back(pooled, group.around.tuning.command_timeout)
+            await roll_back(pooled, group.context.tuning.command_timeout)
     except UpstreamError as exc:
-        group.around.log(
+        group.context.log(
             PART, "rollback unanswered", upstream=pooled.upstream, error=str(exc)
         )
     finally:
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -27,8 +27,8 @@
 
 async def run_write(group, job):
     """Run a write; it is tried again only while it provably has not run."""
-    around, clock = group.around, group.around.clock
-    wait_until = clock() + job.left(clock) * around.tuning.leader_wait_share
+    context, clock = group.context, group.context.clock
+    wait_until = clock() + job.left(clock) * context.tuning.leader_wait_share
     last = None
     while clock() < wait_until:
         item = await group.wait_writable(wait_until - clock())
@@ -36,17 +36,17 @@
             break
         patience = wait_until - clock()
         if not await can_confirm(group, item.id, patience=patience):
-            return unconfirmable(around.tuning)
+            return unconfirmable(context.tuning)
         job.tried.append(item.id)
         try:
             async with item.turns.enter(job.claim()):
-                if not around.catalog.stands(job.credential):
+                if not context.catalog.stands(job.credential):
                     return withdrawn()
                 reply = await try_write(group, job, item)
         except Hopeless as exc:
             return overloaded(job, exc.wait)
         except NotSent as exc:
-            around.log(PART, "not sent", request=job.request, error=str(exc))
+            context.log(PART, "not sent", request=job.request, error=str(exc))
             await asyncio.sleep(REFUSED_PAUSE)
             continue
         if reply.refusal not in NOT_RUN or reply.refusal is Refusal.MALFORMED:
@@ -59,17 +59,17 @@
             group.watch.doubt(item.id)
         await asyncio.sleep(REFUSED_PAUSE)
     if last is None:
-        return no_leader(around.tuning)
+        return no_leader(context.tuning)
     return Reply(
         refusal=Refusal.BUSY,
         detail=f"not run, {last.refusal}",
-        retry_after_ms=around.tuning.busy_retry_after_ms,
+        retry_after_ms=context.tuning.busy_retry_after_ms,
     )
 
 
 async def try_write(group, job, item):
     """One try at the leader; raises NotSent if the write did not leave us."""
-    around, clock = group.around, group.around.clock
+    context, clock = group.context, group.context.clock
     pooled = await take_live(group, item, job)
     try:
         try:
@@ -88,7 +88,7 @@
             return lost_write(group, job, item, exc)
         group.stall.end(number, clock())
         if reply.ok:
-            item.answered(clock() - asked_at, reply.position, clock(), around.tuning)
+            item.answered(clock() - asked_at, reply.position, clock(), context.tuning)
             if not await is_safe(
                 group, reply.position, item.id, patience=job.left(clock)
             ):
@@ -122,9 +122,9 @@
     """The reply for a write that was sent and not answered."""
     if isinstance(exc, UpstreamLost) and not exc.sent:
         raise NotSent(str(exc)) from exc
-    item.failed(exc, group.around.clock(), group.around.tuning)
+    item.failed(exc, group.context.clock(), group.context.tuning)
     silent = isinstance(exc, UpstreamSilent)
-    group.around.log(
+    group.context.log(
         PART, "in doubt", request=job.request, upstream=item.id, error=str(exc)
     )
     detail = "no answer in time" if silent else "the connection broke"
@@ -133,7 +133,7 @@
 
 async def level(group, job, pooled):
     """Bring a connection to the session's values."""
-    tuning = group.around.tuning
+    tuning = group.context.tuning
     await bring_level(
         pooled,
         job.values,
@@ -150,12 +150,12 @@
     forgotten the connection, the write on it gets no answer, and its outcome is
     unknown although it never arrived. It takes a round trip, 2 ms, and no slot.
     """
-    tuning = group.around.tuning
+    tuning = group.context.tuning
     while True:
         try:
             pooled = await item.pool.acquire(
                 values=job.values,
-                timeout=job.left(group.around.clock),
+                timeout=job.left(group.context.clock),
                 workspace=job.workspace,
             )
         except UpstreamError as exc:
@@ -166,4 +166,4 @@
             return pooled
         except UpstreamError as exc:
             item.pool.release(pooled)
-            group.around.log(PART, "dead connection", upstream=item.id, error=str(exc))
+            group.context.log(PART, "dead connection", upstream=item.id, error=str(exc))
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -17,7 +17,7 @@
 from gypsum_sessions.daemons.warmlinks import WarmLinks
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
 from gypsum_sessions.takeover.leaseboard import LeaseBoard
-from gypsum_sessions.upstreams.group import Surroundings
+from gypsum_sessions.upstreams.group import GroupContext
 from gypsum_sessions.upstreams.hosting import Hosting
 from gypsum_sessions.upstreams.recorder import LOOK_EVERY, MemberRecorder
 from gypsum_sessions.upstreams.roster import Roster
@@ -93,7 +93,7 @@
         )
         self.recorder = MemberRecorder(records=records, log=log)
         self.board = LeaseBoard(clock=clock, rest=tuning.settled_after)
-        self.around = Surroundings(
+        self.context = GroupContext(
             clock=clock,
             dialer=CheckingDialer(dialer=dialer, replaced=self.member_replaced),
             tuning=tuning,
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -42,7 +42,7 @@
         self, *, group, daemon, leases, board, promoter, relist, recorder, reach
     ):
         self.group = group
-        self.around = group.around
+        self.context = group.context
         self.daemon = daemon
         self.leases = leases
         self.board = board
@@ -60,13 +60,13 @@
 
     def log(self, event, **fields):
         """Write one line about this group."""
-        self.around.log(PART, event, group=self.group.name, **fields)
+        self.context.log(PART, event, group=self.group.name, **fields)
 
     async def run(self):
         """Look at the group for ever."""
         while True:
             await asyncio.sleep(LOOK_EVERY)
-            resting = self.around.clock() < self.rest_until
+            resting = self.context.clock() < self.rest_until
             reason = None if resting else self.reasons.find()
             if reason is None:
                 reason = Reason.RESUME if self.may_resume() else None
@@ -77,7 +77,7 @@
                 await self.attempt(reason)
             except (LeaseError, UpstreamError) as exc:
                 self.log("attempt ended", error=str(exc))
-                self.rest_until = self.around.clock() + self.around.tuning.lease_rest
+                self.rest_until = self.context.clock() + self.context.tuning.lease_rest
             finally:
                 self.attempting = False
 
@@ -86,7 +86,7 @@
         return bool(
             self.group.watch.leader
             and self.control.paused
-            and self.around.clock() >= self.rest_until
+            and self.context.clock() >= self.rest_until
         )
 
     def place(self):
@@ -112,8 +112,8 @@
         await self.refresh(reason)
         old = self.group.presumed_leader()
         limit = BEHIND_LIMIT if reason is Reason.BEHIND else ATTEMPT_LIMIT
-        deadline = self.around.clock() + limit
-        while self.around.clock() < deadline:
+        deadline = self.context.clock() + limit
+        while self.context.clock() < deadline:
             if self.settled(reason, old):
                 self.log("given up, the reason is gone", reason=str(reason))
                 await self.settle()
@@ -201,7 +201,7 @@
         ]
         if floor is None or not replicas:
             return False
-        await asyncio.sleep(self.around.tuning.stall_look)
+        await asyncio.sleep(self.context.tuning.stall_look)
         statuses = await asyncio.gather(
             *(self.control.status_of(item) for item in replicas)
         )
@@ -228,8 +228,8 @@
         """
         age = self.board.age(self.group.name)
         self.log("replicas found paused", held=held, lease_age=round(age, 2))
-        if age < self.around.tuning.settled_after:
-            self.rest_until = self.around.clock() + ROUND_PAUSE
+        if age < self.context.tuning.settled_after:
+            self.rest_until = self.context.clock() + ROUND_PAUSE
             return
         self.control.paused.update(held)
         self.lease = None
@@ -237,19 +237,19 @@
 
     async def take_lease(self, reason):
         """Get a fresh token for this attempt; tell whether we have it."""
-        name, tuning = self.group.name, self.around.tuning
+        name, tuning = self.group.name, self.context.tuning
         found = await self.leases.read(name)
         self.board.note(name, found)
         seen = self.board.newest(name, found)
         foreign = seen.holder not in ("", self.daemon)
         if foreign and self.board.age(name) < tuning.lease_rest:
             self.log("left to its holder", reason=reason, holder=seen.holder)
-            self.rest_until = self.around.clock() + tuning.lease_look
+            self.rest_until = self.context.clock() + tuning.lease_look
             return False
         lease = await self.leases.take(name, self.daemon, seen)
         if lease is None:
             self.log("lease taken by another", reason=reason)
-            self.rest_until = self.around.clock() + tuning.lease_look
+            self.rest_until = self.context.clock() + tuning.lease_look
             return False
         self.lease = lease
         self.board.note(name, lease)
@@ -272,7 +272,7 @@
         ):
             self.promotions += 1
             self.control.paused.clear()
-            self.rest_until = self.around.clock() + self.around.tuning.lease_look
+            self.rest_until = self.context.clock() + self.context.tuning.lease_look
             await self.settle()
             return True
         # The token is spent: the order may still be carried out, or was refused.
@@ -346,7 +346,7 @@
         what was never acknowledged.
         """
         shown = self.group.floors.highest
-        since = self.around.clock() - DEPARTED_WAIT
+        since = self.context.clock() - DEPARTED_WAIT
         departed = [name for name in self.group.departed_since(since) if name != old]
         received = {item.upstream: item.status.received for item in paused}
         if shown is None or not departed or received[best] >= shown:
@@ -367,15 +367,15 @@
         One without an answer is ordered again soon, under a new token: carried out
         seconds later, the first would meet logs that have grown past it.
         """
-        tuning = self.around.tuning
+        tuning = self.context.tuning
         if outcome is PromoteOutcome.UNANSWERED:
             return tuning.unanswered_wait
         return tuning.promotion_wait
 
     async def wait_led_by(self, upstream, patience):
         """Wait until a member leads; tell whether it does."""
-        deadline = self.around.clock() + patience
-        while self.around.clock() < deadline:
+        deadline = self.context.clock() + patience
+        while self.context.clock() < deadline:
             item = self.group.upstreams.get(upstream)
             if item is None:
                 return False
@@ -387,10 +387,10 @@
     async def leads(self, item):
         """Ask a member whether it leads."""
         try:
-            async with borrowed(self.around, item, urgent=True) as conn:
-                asked_at = self.around.clock()
+            async with borrowed(self.context, item, urgent=True) as conn:
+                asked_at = self.context.clock()
                 position = await prove_leads(
-                    conn, timeout=self.around.tuning.ping_timeout
+                    conn, timeout=self.context.tuning.ping_timeout
                 )
         except UpstreamError:
             return False
@@ -417,7 +417,7 @@
         self.log("primary confirmed", upstream=leader, outcome=str(outcome))
         self.note_outcome(leader, outcome)
         if outcome is not PromoteOutcome.ACCEPTED:
-            self.rest_until = self.around.clock() + self.around.tuning.lease_look
+            self.rest_until = self.context.clock() + self.context.tuning.lease_look
             return
         await self.control.resume_all()
         await self.settle()
--- a/packages/sessions/gypsum_sessions/takeover/reach.py
+++ b/packages/sessions/gypsum_sessions/takeover/reach.py
@@ -16,7 +16,7 @@
 
     def __init__(self, *, group, peers):
         self.group = group
-        self.around = group.around
+        self.context = group.context
         self.peers = peers
         self.seen = {}
 
@@ -24,7 +24,7 @@
         """Owners that have lately proven the primary; none while we do so ourselves."""
         if self.group.watch.leader:
             return []
-        return usable_helpers(self.seen, self.around.clock())
+        return usable_helpers(self.seen, self.context.clock())
 
     async def run(self):
         """Ask the other owners while we know of no primary, for ever."""
@@ -45,7 +45,7 @@
 
     async def ask_all(self):
         """Ask every other owner; those that are silent are not waited for."""
-        daemons = self.around.daemons
+        daemons = self.context.daemons
         names = [
             name
             for name in daemons.owners(self.group.spec)
@@ -55,7 +55,7 @@
 
     async def ask(self, name):
         """Ask one owner whom it has proven to lead, and when."""
-        asked_at = self.around.clock()
+        asked_at = self.context.clock()
         try:
             link = await self.peers.link(name, ANSWER_TIME)
             answer = await link.ask(
@@ -66,7 +66,7 @@
             return
         if vouches(answer.proof_age):
             if not self.helpers() and not self.group.watch.leader:
-                self.around.log(
+                self.context.log(
                     PART, "another daemon leads on", group=self.group.name, by=name
                 )
             self.seen[name] = asked_at - answer.proof_age
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -22,7 +22,7 @@
     def __init__(self, *, group, board, recorder, reach):
         self.reach = reach
         self.group = group
-        self.around = group.around
+        self.context = group.context
         self.board = board
         self.recorder = recorder
 
@@ -31,7 +31,7 @@
         if not self.group.upstreams or not self.recorder.knows(self.group.name):
             # Without a record the list may have gaps, and nothing tells who is missing.
             return None
-        delay = self.place() * self.around.tuning.rank_delay
+        delay = self.place() * self.context.tuning.rank_delay
         if not self.group.watch.leader:
             return Reason.NO_PRIMARY if self.lost_for(delay) else None
         if self.stalled_for(delay):
@@ -44,20 +44,20 @@
 
     def place(self):
         """This daemon's place among the group's owners."""
-        return self.around.daemons.place(self.group.spec)
+        return self.context.daemons.place(self.group.spec)
 
     def lost_for(self, delay):
         """Tell whether nobody has led for long enough, and nobody may do so unseen."""
         since = self.group.watch.leaderless_since
         if since is None or self.group.watch.hidden() or self.reach.helpers():
             return False
-        lost = self.around.clock() - since
-        return lost >= self.around.tuning.suspect_after + delay
+        lost = self.context.clock() - since
+        return lost >= self.context.tuning.suspect_after + delay
 
     def stalled_for(self, delay):
         """Tell whether writes wait at the primary and none is answered."""
-        lasting = self.group.stall.lasting(self.around.clock())
-        return lasting >= self.around.tuning.stall_after + delay
+        lasting = self.group.stall.lasting(self.context.clock())
+        return lasting >= self.context.tuning.stall_after + delay
 
     def left_unfinished(self, delay):
         """Tell whether somebody's takeover ended without a word, a while ago.
@@ -68,19 +68,19 @@
         name = self.group.name
         if not self.board.unsettled(name):
             return False
-        return self.board.age(name) >= self.around.tuning.settled_after + delay
+        return self.board.age(name) >= self.context.tuning.settled_after + delay
 
     def primary_leaves(self, delay):
         """Tell whether the primary leaves and another member could lead."""
         member = self.group.member(self.group.watch.leader)
         if member is None or member.leaving_since is None:
             return False
-        late = self.around.clock() - member.leaving_since >= delay
+        late = self.context.clock() - member.leaving_since >= delay
         return late and bool(self.successors(member.id))
 
     def replicas_behind(self, delay):
         """Tell whether reads all fall on a primary that can't take them."""
-        now, group = self.around.clock(), self.group
+        now, group = self.context.clock(), self.group
         leader = group.upstreams.get(group.watch.leader)
         replicas = [
             item
@@ -89,7 +89,7 @@
         ]
         if leader is None or not replicas:
             return False
-        behind_for = min(item.behind_for(now, self.around.tuning) for item in replicas)
+        behind_for = min(item.behind_for(now, self.context.tuning) for item in replicas)
         return worth_changing(
             behind_for=behind_for - delay,
             pressed_for=leader.turns.queue.pressed_for(now),
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -38,7 +38,7 @@
 
     def __init__(self, *, group, log):
         self.group = group
-        self.around = group.around
+        self.context = group.context
         self.log = log
         self.paused = {}
         self.missing = []
@@ -75,7 +75,7 @@
                 self.group.upstreams[old],
                 Statement(kind=StatementKind.STEP_DOWN, term=term),
             )
-            await asyncio.sleep(self.around.tuning.handover_pause)
+            await asyncio.sleep(self.context.tuning.handover_pause)
         paused = await self.pause(others, term)
         if paused is None:
             return None
@@ -132,15 +132,15 @@
     async def has_all(self, heir, paused):
         """Wait until the heir has received what the paused members have."""
         longest = max((status.received for status in paused.values()), default=None)
-        until = self.around.clock() + self.around.tuning.heir_wait
-        while self.around.clock() < until:
+        until = self.context.clock() + self.context.tuning.heir_wait
+        while self.context.clock() < until:
             item = self.group.upstreams.get(heir)
             status = await self.status_of(item) if item is not None else None
             if status is None or status.held_term or status.leads:
                 return False
             if longest is None or status.received >= longest:
                 return True
-            await asyncio.sleep(self.around.tuning.confirm_pause)
+            await asyncio.sleep(self.context.tuning.confirm_pause)
         self.log("the heir lacks what others have", heir=heir, longest=str(longest))
         return False
 
@@ -154,7 +154,7 @@
         if item is None:
             return False
         try:
-            async with asyncio.timeout(self.around.tuning.ping_timeout):
+            async with asyncio.timeout(self.context.tuning.ping_timeout):
                 status = await self.status_of(item)
         except TimeoutError:
             return False
@@ -186,9 +186,9 @@
 
     async def command_once(self, item, statement):
         """One try of a command; raises UpstreamError."""
-        async with borrowed(self.around, item, urgent=True) as conn:
+        async with borrowed(self.context, item, urgent=True) as conn:
             reply = await conn.ask(
-                statement, timeout=self.around.tuning.command_timeout
+                statement, timeout=self.context.tuning.command_timeout
             )
             if reply.ok:
                 return conn.read_status(reply)
--- a/packages/sessions/gypsum_sessions/upstreams/borrow.py
+++ b/packages/sessions/gypsum_sessions/upstreams/borrow.py
@@ -6,7 +6,7 @@
 
 
 @asynccontextmanager
-async def borrowed(around, item, *, urgent=False):
+async def borrowed(context, item, *, urgent=False):
     """A connection of the pool; if all are in use, an urgent one is opened apart.
 
     Commands of a takeover must not wait behind callers' statements. Where the
@@ -14,8 +14,8 @@
     """
     if urgent and not item.pool.has_room():
         try:
-            conn = await around.dialer.dial(
-                item.member, timeout=around.tuning.dial_timeout
+            conn = await context.dialer.dial(
+                item.member, timeout=context.tuning.dial_timeout
             )
         except UpstreamRefused:
             conn = None
@@ -26,7 +26,7 @@
                 conn.close()
             return
     pooled = await item.pool.acquire(
-        values={}, timeout=around.tuning.ping_timeout, first=urgent
+        values={}, timeout=context.tuning.ping_timeout, first=urgent
     )
     try:
         yield pooled.conn
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Surroundings:
+class GroupContext:
     """What all groups of a daemon share.
 
     `domain` is this daemon's failure domain; `daemons` tells how many daemons share
@@ -44,20 +44,20 @@
 class Group:
     """Upstreams, floors and the leader of one group."""
 
-    def __init__(self, *, spec, around):
+    def __init__(self, *, spec, context):
         self.spec = spec
-        self.around = around
+        self.context = context
         self.upstreams = {}
         self.departed_at = {}
         self.tasks = set()
         self.stall = WriteStall()
-        self.floors = Floors(keep=around.tuning.floor_keep)
+        self.floors = Floors(keep=context.tuning.floor_keep)
         self.watch = LeaderWatch(
             group=self,
             floors=self.floors,
-            clock=around.clock,
-            tuning=around.tuning,
-            log=around.log,
+            clock=context.clock,
+            tuning=context.tuning,
+            log=context.log,
         )
 
     @property
@@ -87,7 +87,7 @@
         """Close what is open to a member off the list; note when it went unasked."""
         item.pool.close()
         if not item.member.leaving:
-            self.departed_at[item.id] = self.around.clock()
+            self.departed_at[item.id] = self.context.clock()
 
     def departed_since(self, moment):
         """Members that went off the list unasked at or after a moment."""
@@ -104,16 +104,16 @@
             known.pool.close()
         pool = ConnPool(
             member=member,
-            dialer=self.around.dialer,
+            dialer=self.context.dialer,
             limit=self.connection_limit(),
-            clock=self.around.clock,
-            tuning=self.around.tuning,
+            clock=self.context.clock,
+            tuning=self.context.tuning,
         )
-        mean = self.around.tuning.first_mean
+        mean = self.context.tuning.first_mean
         turns = Turns(
             limit=self.work_limit(member),
             mean=mean,
-            clock=self.around.clock,
+            clock=self.context.clock,
         )
         self.upstreams[member.id] = Upstream(
             member=member, pool=pool, turns=turns, mean=mean
@@ -121,7 +121,7 @@
 
     def work_limit(self, member):
         """Statements that this daemon may have at an upstream at once."""
-        return work_limit(member.slots, self.around.daemons.owner_count(self.spec))
+        return work_limit(member.slots, self.context.daemons.owner_count(self.spec))
 
     def has_connection(self, *, writes, soon=False):
         """Tell whether a transaction can be opened without waiting for a connection.
@@ -150,9 +150,9 @@
 
         After its start a daemon is content with less.
         """
-        share = self.around.daemons.connection_share(self.spec)
-        since_start = self.around.clock() - self.around.started_at
-        if since_start >= self.around.tuning.modest_for:
+        share = self.context.daemons.connection_share(self.spec)
+        since_start = self.context.clock() - self.context.started_at
+        if since_start >= self.context.tuning.modest_for:
             return share
         return share_after_start(share, since_start)
 
@@ -177,7 +177,7 @@
 
     def candidates(self, workspace=""):
         """All upstreams as the router sees them for a workspace's read."""
-        now = self.around.clock()
+        now = self.context.clock()
         return [
             self.candidate(item, now, workspace)
             for item in self.upstreams.values()
@@ -192,8 +192,8 @@
         """
         if member.leaving_since is None:
             return True
-        left_for = self.around.clock() - member.leaving_since
-        return left_for < self.around.drain_seconds - self.around.tuning.drain_margin
+        left_for = self.context.clock() - member.leaving_since
+        return left_for < self.context.drain_seconds - self.context.tuning.drain_margin
 
     async def wait_writable(self, timeout):
         """The upstream that leads and takes work; None if there is none in time."""
@@ -210,7 +210,7 @@
             ahead=item.turns.queue.load,
             slots=member.slots,
             leads=item.id == self.watch.leader,
-            far=member.domain != self.around.domain,
+            far=member.domain != self.context.domain,
             leaving=not member.stays,
             avoided=now < item.avoid_until,
             lagging=now < item.lagging_until,
@@ -224,7 +224,7 @@
         A new leader does not end it: an order that was given up may still be carried
         out, and an earlier one may have taken effect in between.
         """
-        return self.around.board.under_way(self.name)
+        return self.context.board.under_way(self.name)
 
     def keep_tasks(self, tasks):
         """Hold on to tasks that finish on their own."""
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -67,7 +67,7 @@
         group = self.groups.get(spec.name)
         if group is not None:
             return group
-        group = Group(spec=spec, around=self.proxy.around)
+        group = Group(spec=spec, context=self.proxy.context)
         self.groups[spec.name] = group
         reach = self.reaches[spec.name] = Reach(group=group, peers=self.proxy.peers)
         self.takeovers[spec.name] = Takeover(
@@ -127,4 +127,6 @@
         if self.proxy.daemons.owns(spec):
             group = self.start(spec)
             return LocalAccess(group=group, reach=self.reaches[name])
-        return RemoteAccess(spec=spec, around=self.proxy.around, peers=self.proxy.peers)
+        return RemoteAccess(
+            spec=spec, context=self.proxy.context, peers=self.proxy.peers
+        )
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -31,7 +31,7 @@
     path.write_text(json.dumps({**SETTINGS, **changes}))
     daemon.reload()
     assert daemon.store.address == "127.0.0.1:9"
-    assert daemon.proxy.around.drain_seconds == 9.0
+    assert daemon.proxy.context.drain_seconds == 9.0
     assert lines[-1][1]["changed"] == ["store", "upstream_drain_seconds"]
 
 
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -277,7 +277,7 @@
     def mend_cuts(self):
         """All paths are there again; connections that went silent stay so."""
         for proxy in self.rig.proxies:
-            proxy.around.dialer.dialer.cut.clear()
+            proxy.context.dialer.dialer.cut.clear()
 
     def silent(self):
         """Open connections to a member go silent for good."""
@@ -526,7 +526,7 @@
         member.cut_from.clear()
     rig.version += 1
     for proxy in rig.proxies:
-        proxy.around.dialer.dialer.cut.clear()
+        proxy.context.dialer.dialer.cut.clear()
         proxy.take_members(rig.group.listing())
         if rig.keys:
             proxy.offer_catalog(rig.configured(rig.version, rig.keys), "test")
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -253,7 +253,7 @@
 
     def cut(self, proxy, upstream):
         """A daemon loses its path to an upstream: open connections go silent."""
-        dialer = proxy.around.dialer.dialer
+        dialer = proxy.context.dialer.dialer
         dialer.cut.add(upstream)
         for conn in list(self.group[upstream].conns):
             if conn.dialer is dialer:
--- a/tests/sessions/test_confirm.py
+++ b/tests/sessions/test_confirm.py
@@ -64,7 +64,7 @@
 
 def cut_off(rig, *names):
     """Take the daemon's way to members: open connections go silent, new ones hang."""
-    rig.proxy.around.dialer.dialer.cut.update(names)
+    rig.proxy.context.dialer.dialer.cut.update(names)
     for name in names:
         for conn in list(rig.group[name].conns):
             conn.silent = True
@@ -90,7 +90,7 @@
         assert (await caller.send("ROLLBACK")).ok
         assert reply.ok
         assert rig.group["u1"].runs == runs
-        rig.proxy.around.dialer.dialer.cut.clear()
+        rig.proxy.context.dialer.dialer.cut.clear()
         await asyncio.sleep(1.5)
         assert (await caller.send("WRITE a 3")).ok
 
@@ -208,7 +208,7 @@
     async def main():
         rig = await settled_rig()
         rig.group["u1"].cut_from.update({"u2", "u3"})
-        rig.proxy.around.dialer.dialer.cut.update({"u2", "u3"})
+        rig.proxy.context.dialer.dialer.cut.update({"u2", "u3"})
         for name in ("u2", "u3"):
             for conn in list(rig.group[name].conns):
                 conn.silent = True
--- a/tests/sessions/test_departed.py
+++ b/tests/sessions/test_departed.py
@@ -122,9 +122,9 @@
         await rig.settle()
         cut, other = rig.proxies
         other.takeovers["db"].rest_until = float("inf")
-        cut.around.dialer.dialer.cut.add("u2")
+        cut.context.dialer.dialer.cut.add("u2")
         for conn in list(rig.group["u2"].conns):
-            conn.silent = conn.dialer is cut.around.dialer.dialer
+            conn.silent = conn.dialer is cut.context.dialer.dialer
         rig.group["u3"].deaf = True
         rig.group.promote("u2")
         await other.groups["db"].watch.wait_leader(1.0)
--- a/tests/sessions/test_freshness.py
+++ b/tests/sessions/test_freshness.py
@@ -84,7 +84,7 @@
         rig = Rig(daemons=2)
         await rig.settle()
         old, fresh = rig.proxies
-        old.around.dialer.dialer.cut.update({"u2", "u3"})
+        old.context.dialer.dialer.cut.update({"u2", "u3"})
         for replica in ("u2", "u3"):
             for conn in list(rig.group[replica].conns):
                 conn.silent = True
--- a/tests/sessions/test_reach.py
+++ b/tests/sessions/test_reach.py
@@ -73,7 +73,7 @@
         await asyncio.sleep(1.5)
         access = cut.access("db")
         assert access.elsewhere() is not None
-        cut.around.dialer.dialer.cut.clear()
+        cut.context.dialer.dialer.cut.clear()
         await asyncio.sleep(1.0)
         assert access.elsewhere() is None
         assert (await rig.caller("own", cut).send("WRITE a 1")).ok
@@ -128,7 +128,7 @@
             rig.cut(rig.proxy, upstream)
         await asyncio.sleep(3.0)
         assert not rig.proxy.ready
-        rig.proxy.around.dialer.dialer.cut.clear()
+        rig.proxy.context.dialer.dialer.cut.clear()
         await asyncio.sleep(2.0)
         assert rig.proxy.ready
 
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -127,9 +127,9 @@
             for proxy in rig.proxies[1:]
         ]
         await asyncio.sleep(0.5)
-        cut.around.dialer.dialer.cut.add("u1")
+        cut.context.dialer.dialer.cut.add("u1")
         for conn in list(rig.group["u1"].conns):
-            conn.silent = conn.silent or conn.dialer is cut.around.dialer.dialer
+            conn.silent = conn.silent or conn.dialer is cut.context.dialer.dialer
         await asyncio.gather(*writers)
         check_nothing_lost(rig, told)
 
--- a/tests/sessions/test_workspaces.py
+++ b/tests/sessions/test_workspaces.py
@@ -287,7 +287,7 @@
 def test_a_workspace_uses_its_connections_again():
     async def main():
         rig = await keyed_rig()
-        dialer = rig.proxy.around.dialer.dialer
+        dialer = rig.proxy.context.dialer.dialer
         caller = rig.caller("primary", key="n1")
         await caller.send("READ a")
         dials = dialer.dials
