--- a/packages/sessions/gypsum_sessions/upstreams/upstream.py
+++ b/packages/sessions/gypsum_sessions/upstreams/upstream.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from gypsum_core.records import Position
-from gypsum_sessions.execution.turns import Turns
+from gypsum_sessions.execution.admission import Turns
 from gypsum_sessions.replies import NoFreeConnection, UpstreamRefused
 from gypsum_sessions.upstreams.pool import ConnPool
 from gypsum_sessions.upstreams.roster import Member
