--- a/packages/sessions/gypsum_sessions/execution/admission.py
+++ b/packages/sessions/gypsum_sessions/execution/admission.py
@@ -5,26 +5,26 @@
 from gypsum_policy.admission import Hopeless, WorkQueue
 
 
-class Turn:
+class QueuedStatement:
     """A statement's place in the queue; `async with` waits for it and holds it.
 
     It counts from the moment at which it is made. What goes wrong otherwise: callers
     that come in the same instant all see the same upstream idle, and all go there.
     """
 
-    def __init__(self, *, turns, claim):
-        self.turns = turns
+    def __init__(self, *, admission, claim):
+        self.admission = admission
         self.claim = claim
-        self.ticket = turns.take_ticket(claim)
-        self.began = turns.clock()
-        self.over = False
+        self.ticket = admission.take_ticket(claim)
+        self.started_at = admission.clock()
+        self.released = False
 
     async def __aenter__(self):
         """Wait until it is our turn; raises Hopeless if it would come too late."""
         if self.ticket is not None:
-            await self.turns.wait(self.ticket, self.claim.deadline)
+            await self.admission.wait(self.ticket, self.claim.deadline)
             self.ticket = None
-        self.began = self.turns.clock()
+        self.started_at = self.admission.clock()
 
     async def __aexit__(self, kind, exc, trace):
         """The statement has ended."""
@@ -32,32 +32,32 @@
 
     def release(self, answered=False):
         """Give the place up, once."""
-        if self.over:
+        if self.released:
             return
-        self.over = True
+        self.released = True
         if self.ticket is not None:
-            self.turns.queue.leave(self.ticket)
+            self.admission.queue.leave(self.ticket)
             return
-        now = self.turns.clock()
-        self.turns.ended(now - self.began if answered else None)
+        now = self.admission.clock()
+        self.admission.finished(now - self.started_at if answered else None)
 
 
-class Joined:
+class UnqueuedStatement:
     """A statement whose transaction is open: it counts and does not wait."""
 
-    def __init__(self, *, turns):
-        self.turns = turns
+    def __init__(self, *, admission):
+        self.admission = admission
 
     async def __aenter__(self):
         """It starts."""
-        self.turns.queue.join()
+        self.admission.queue.join()
 
     async def __aexit__(self, kind, exc, trace):
         """It has ended."""
-        self.turns.ended(None)
+        self.admission.finished(None)
 
 
-class Turns:
+class AdmissionQueue:
     """The queue before one upstream."""
 
     def __init__(self, *, limit, mean, clock):
@@ -65,28 +65,28 @@
         self.clock = clock
         self.futures = {}
 
-    def enter(self, claim):
+    def enqueue(self, claim):
         """A place for a statement; raises Hopeless if it would come too late."""
-        return Turn(turns=self, claim=claim)
+        return QueuedStatement(admission=self, claim=claim)
 
-    def joined(self):
+    def unqueued(self):
         """A place for a statement that may not wait."""
-        return Joined(turns=self)
+        return UnqueuedStatement(admission=self)
 
     def take_ticket(self, claim):
         """Enter the queue; None for a statement that may start at once."""
         return self.queue.enter(claim, self.clock())
 
-    def ended(self, seconds):
+    def finished(self, seconds):
         """A statement has ended, after so many seconds if it was answered."""
         self.queue.done(self.clock(), seconds)
-        self.start_waiting()
+        self.admit_waiting()
 
     async def wait(self, ticket, deadline):
         """Wait until a ticket may start; raises Hopeless at the end of its time."""
         fut = asyncio.get_running_loop().create_future()
         self.futures[ticket] = fut
-        self.start_waiting()
+        self.admit_waiting()
         try:
             async with asyncio.timeout(deadline - self.clock()):
                 await fut
@@ -94,32 +94,32 @@
             self.queue.leave(ticket)
             if fut.done() and not fut.cancelled() and fut.exception() is None:
                 # The turn came just as we gave up: it is the next one's.
-                self.ended(None)
+                self.finished(None)
             if isinstance(exc, TimeoutError):
                 raise Hopeless(self.queue.mean) from None
             raise
         finally:
             self.futures.pop(ticket, None)
 
-    def start_waiting(self):
+    def admit_waiting(self):
         """Start whoever may, and refuse whom no turn would help any more."""
         now = self.clock()
         for ticket in self.queue.hopeless(now):
             if ticket in self.futures:
                 self.queue.leave(ticket)
-                self.tell(ticket, Hopeless(self.queue.expected_wait(None, now)))
-        while self.start_one(now):
+                self.resolve(ticket, Hopeless(self.queue.expected_wait(None, now)))
+        while self.admit_next(now):
             pass
 
-    def start_one(self, now):
+    def admit_next(self, now):
         """Start the next that waits; tell whether there was one."""
         ticket = self.queue.start_next(now, self.futures)
         if ticket is None:
             return False
-        self.tell(ticket, None)
+        self.resolve(ticket, None)
         return True
 
-    def tell(self, ticket, refusal):
+    def resolve(self, ticket, refusal):
         """End the wait of a ticket."""
         fut = self.futures[ticket]
         if fut.done():
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -109,7 +109,7 @@
 
     What goes wrong when all are asked at once: every commit takes a slot of each.
     """
-    ranked = sorted(replicas, key=lambda item: (item.turns.queue.load, item.mean))
+    ranked = sorted(replicas, key=lambda item: (item.admission.queue.load, item.mean))
     pause = group.context.tuning.confirm_hedge
     found = []
 
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -123,7 +123,7 @@
     now = group.context.clock()
     for upstream in order if not must else order[:1]:
         item = group.upstreams.get(upstream)
-        if must or (item is not None and item.turns.queue.has_room(now)):
+        if must or (item is not None and item.admission.queue.has_room(now)):
             order.remove(upstream)
             return upstream
     return None
@@ -154,11 +154,11 @@
         return set()
     job.tried.append(upstream)
     try:
-        turn = item.turns.enter(job.claim())
+        place = item.admission.enqueue(job.claim())
     except Hopeless as exc:
         return {asyncio.create_task(give_up(item, exc))}
-    task = asyncio.create_task(attempt_read(group, job, item, turn))
-    task.add_done_callback(lambda _: turn.release())
+    task = asyncio.create_task(attempt_read(group, job, item, place))
+    task.add_done_callback(lambda _: place.release())
     return {task}
 
 
@@ -187,10 +187,10 @@
     return min(delay, job.left(group.context.clock))
 
 
-async def attempt_read(group, job, item, turn):
+async def attempt_read(group, job, item, place):
     """Ask one upstream in its turn; never raises an UpstreamError."""
     try:
-        async with turn:
+        async with place:
             if job.over:
                 return Attempt(upstream=item.id, reply=None, detail="answered before")
             if not group.context.catalog.stands(job.credential):
@@ -270,7 +270,7 @@
     if reply.refusal is Refusal.UNKNOWN_NAME:
         pooled.dirty = True
     if reply.refusal is Refusal.BUSY:
-        item.turns.queue.turned_away(context.clock())
+        item.admission.queue.turned_away(context.clock())
 
 
 def overloaded(job, wait):
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -133,7 +133,7 @@
     transactions hold all of them while what is worth more waits.
     """
     job.tried.append(item.id)
-    async with item.turns.enter(job.claim()):
+    async with item.admission.enqueue(job.claim()):
         if not group.context.catalog.stands(job.credential):
             raise Withdrawn
         return await begin_now(group, tx, job, item, statement, after)
@@ -179,7 +179,7 @@
     tx.wrote = tx.wrote or job.statement.writes
     try:
         await level(group, job, tx.pooled)
-        async with joined(group, tx):
+        async with count_statement(group, tx):
             reply = await ask_until_run(group, tx, job)
     except UpstreamError as exc:
         group.watch.doubt(tx.upstream)
@@ -193,14 +193,14 @@
     return aborted(f"{reply.refusal} {reply.detail}")
 
 
-def joined(group, tx):
+def count_statement(group, tx):
     """Count a statement at its upstream; it does not wait for a turn.
 
     What goes wrong when it does: a transaction holds its connection, and at the leader
     what others wait for, longer than it has to.
     """
     item = group.upstreams.get(tx.upstream)
-    return item.turns.joined() if item is not None else nullcontext()
+    return item.admission.unqueued() if item is not None else nullcontext()
 
 
 async def ask_until_run(group, tx, job):
@@ -223,7 +223,7 @@
             return reply
         item = group.upstreams.get(tx.upstream)
         if item is not None:
-            item.turns.queue.turned_away(clock())
+            item.admission.queue.turned_away(clock())
         if job.left(clock) <= 2 * BUSY_PAUSE:
             return reply
         await asyncio.sleep(BUSY_PAUSE)
@@ -243,7 +243,7 @@
     asked_at = group.context.clock()
     number = group.stall.begin(asked_at) if tx.wrote else 0
     try:
-        async with joined(group, tx):
+        async with count_statement(group, tx):
             reply = await ask_until_run(group, tx, job)
         if number:
             group.stall.end(number, group.context.clock())
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -39,7 +39,7 @@
             return unconfirmable(context.tuning)
         job.tried.append(item.id)
         try:
-            async with item.turns.enter(job.claim()):
+            async with item.admission.enqueue(job.claim()):
                 if not context.catalog.stands(job.credential):
                     return withdrawn()
                 reply = await try_write(group, job, item)
@@ -54,7 +54,7 @@
             return reply
         last = reply
         if reply.refusal is Refusal.BUSY:
-            item.turns.queue.turned_away(clock())
+            item.admission.queue.turned_away(clock())
         else:
             group.watch.doubt(item.id)
         await asyncio.sleep(REFUSED_PAUSE)
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -92,7 +92,7 @@
         behind_for = min(item.behind_for(now, self.context.tuning) for item in replicas)
         return worth_changing(
             behind_for=behind_for - delay,
-            pressed_for=leader.turns.queue.pressed_for(now),
+            pressed_for=leader.admission.queue.pressed_for(now),
             led_for=min(self.board.age(group.name), now - group.watch.found_at),
         )
 
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -8,7 +8,7 @@
 from gypsum_sessions.borders import Clock, Dialer, EventLog
 from gypsum_sessions.catalog import Catalog
 from gypsum_sessions.daemons.registry import Daemons
-from gypsum_sessions.execution.admission import Turns
+from gypsum_sessions.execution.admission import AdmissionQueue
 from gypsum_sessions.execution.jobs import ServedBy
 from gypsum_sessions.takeover.floors import Floors
 from gypsum_sessions.takeover.leader import LeaderWatch
@@ -110,13 +110,13 @@
             tuning=self.context.tuning,
         )
         mean = self.context.tuning.first_mean
-        turns = Turns(
+        admission = AdmissionQueue(
             limit=self.work_limit(member),
             mean=mean,
             clock=self.context.clock,
         )
         self.upstreams[member.id] = Upstream(
-            member=member, pool=pool, turns=turns, mean=mean
+            member=member, pool=pool, admission=admission, mean=mean
         )
 
     def work_limit(self, member):
@@ -143,7 +143,7 @@
         for item in self.upstreams.values():
             item.pool.set_limit(self.connection_limit())
             item.pool.trim()
-            item.turns.queue.limit = self.work_limit(item.member)
+            item.admission.queue.limit = self.work_limit(item.member)
 
     def connection_limit(self):
         """This daemon's share of an upstream's connections, as one of the owners.
@@ -207,14 +207,14 @@
         return Candidate(
             id=item.id,
             expected=item.mean,
-            ahead=item.turns.queue.load,
+            ahead=item.admission.queue.load,
             slots=member.slots,
             leads=item.id == self.watch.leader,
             far=member.domain != self.context.domain,
             leaving=not member.stays,
             avoided=now < item.avoid_until,
             lagging=now < item.lagging_until,
-            full=not item.turns.queue.has_room(now),
+            full=not item.admission.queue.has_room(now),
             opening=item.pool.opening_cost(workspace),
         )
 
--- a/packages/sessions/gypsum_sessions/upstreams/upstream.py
+++ b/packages/sessions/gypsum_sessions/upstreams/upstream.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from gypsum_core.records import Position
-from gypsum_sessions.execution.admission import Turns
+from gypsum_sessions.execution.admission import AdmissionQueue
 from gypsum_sessions.replies import NoFreeConnection, UpstreamRefused
 from gypsum_sessions.upstreams.pool import ConnPool
 from gypsum_sessions.upstreams.roster import Member
@@ -26,7 +26,7 @@
 
     member: Member
     pool: ConnPool
-    turns: Turns
+    admission: AdmissionQueue
     mean: float
     avoid_until: float = 0.0
     avoid_for: float = 0.0
--- a/tests/sessions/test_slow_owner.py
+++ b/tests/sessions/test_slow_owner.py
@@ -82,9 +82,9 @@
         other = rig.others()[0]
         owner = rig.links.proxies[other.access("db").owners()[0]]
         for item in owner.groups["db"].upstreams.values():
-            item.turns.queue.mean = 30.0
-            for _ in range(item.turns.queue.limit):
-                item.turns.queue.join()
+            item.admission.queue.mean = 30.0
+            for _ in range(item.admission.queue.limit):
+                item.admission.queue.join()
         began = rig.loop.time()
         assert (await rig.caller("own", other).send("READ a")).ok
         assert (await rig.caller("own", other).send("WRITE a 1")).ok
--- a/tests/sessions/test_workspaces.py
+++ b/tests/sessions/test_workspaces.py
@@ -179,14 +179,14 @@
         rig = await keyed_rig()
         group = rig.proxy.groups["db"]
         for item in group.upstreams.values():
-            item.turns.queue.running = item.turns.queue.limit
+            item.admission.queue.running = item.admission.queue.limit
         caller = rig.caller(key="n1")
         waiting = asyncio.create_task(caller.send("READ a"))
         await asyncio.sleep(0.05)
         withdraw(rig)
         for item in group.upstreams.values():
-            for _ in range(item.turns.queue.limit):
-                item.turns.ended(None)
+            for _ in range(item.admission.queue.limit):
+                item.admission.finished(None)
         reply = await waiting
         assert reply.refusal is Refusal.UNKNOWN_KEY
         assert rig.group.watch.ran == []
