--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -188,7 +188,10 @@
     context = group.context
     try:
         pooled = await item.pool.acquire(
-            values={}, timeout=context.tuning.ping_timeout, first=True, oldest=True
+            values={},
+            timeout=context.tuning.ping_timeout,
+            urgent=True,
+            prefer_oldest=True,
         )
         try:
             if not context.board.trusts(group.name, pooled.opened_at):
--- a/packages/sessions/gypsum_sessions/measures.py
+++ b/packages/sessions/gypsum_sessions/measures.py
@@ -120,7 +120,7 @@
         for group in proxy.groups.values():
             for item in group.upstreams.values():
                 labels = {"group": group.name, "upstream": item.id}
-                self.upstreams.set({**labels, "what": "open"}, item.pool.opened)
+                self.upstreams.set({**labels, "what": "open"}, item.pool.open_count)
                 self.upstreams.set({**labels, "what": "in_use"}, item.pool.in_use)
                 self.upstreams.set({**labels, "what": "dials"}, item.pool.dials)
                 displaced = item.pool.displaced
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -17,7 +17,7 @@
 from gypsum_sessions.takeover.leader import prove_leads
 from gypsum_sessions.takeover.reasons import Reason, Reasons
 from gypsum_sessions.takeover.replication import ReplicationControl
-from gypsum_sessions.upstreams.borrow import borrowed
+from gypsum_sessions.upstreams.borrow import borrow_connection
 
 PART = "takeover"
 # How often a group is looked at, seconds.
@@ -387,7 +387,7 @@
     async def leads(self, item):
         """Ask a member whether it leads."""
         try:
-            async with borrowed(self.context, item, urgent=True) as conn:
+            async with borrow_connection(self.context, item, urgent=True) as conn:
                 asked_at = self.context.clock()
                 position = await prove_leads(
                     conn, timeout=self.context.tuning.ping_timeout
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -199,10 +199,10 @@
         if item is None:
             return False
         timeout = self.tuning.ping_timeout
-        at_hand = item.pool.acquire(values={}, timeout=timeout, first=True)
+        at_hand = item.pool.acquire(values={}, timeout=timeout, urgent=True)
         answer = await self.ask_leader(item, at_hand)
         if answer is None:
-            answer = await self.ask_leader(item, item.pool.open_fresh())
+            answer = await self.ask_leader(item, item.pool.open_new())
         return bool(answer)
 
     async def ask_leader(self, item, getting):
@@ -316,7 +316,7 @@
     async def ask_quietly(self, item):
         """Ask one member of which a search knows nothing; None for any failure."""
         timeout = self.tuning.ping_timeout
-        getting = item.pool.acquire(values={}, timeout=timeout, first=True)
+        getting = item.pool.acquire(values={}, timeout=timeout, urgent=True)
         try:
             return await self.ask_member(item, getting)
         except UpstreamError as exc:
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -11,7 +11,7 @@
     Statement,
     StatementKind,
 )
-from gypsum_sessions.upstreams.borrow import borrowed
+from gypsum_sessions.upstreams.borrow import borrow_connection
 
 # Unanswered or refused commands to a member are repeated this often per round.
 COMMAND_TRIES = 2
@@ -186,7 +186,7 @@
 
     async def command_once(self, item, statement):
         """One try of a command; raises UpstreamError."""
-        async with borrowed(self.context, item, urgent=True) as conn:
+        async with borrow_connection(self.context, item, urgent=True) as conn:
             reply = await conn.ask(
                 statement, timeout=self.context.tuning.command_timeout
             )
--- a/packages/sessions/gypsum_sessions/upstreams/borrow.py
+++ b/packages/sessions/gypsum_sessions/upstreams/borrow.py
@@ -6,13 +6,13 @@
 
 
 @asynccontextmanager
-async def borrowed(context, item, *, urgent=False):
+async def borrow_connection(context, item, *, urgent=False):
     """A connection of the pool; if all are in use, an urgent one is opened apart.
 
     Commands of a takeover must not wait behind callers' statements. Where the
     upstream takes no further connection they wait all the same. Raises UpstreamError.
     """
-    if urgent and not item.pool.has_room():
+    if urgent and not item.pool.has_capacity():
         try:
             conn = await context.dialer.dial(
                 item.member, timeout=context.tuning.dial_timeout
@@ -26,7 +26,7 @@
                 conn.close()
             return
     pooled = await item.pool.acquire(
-        values={}, timeout=context.tuning.ping_timeout, first=urgent
+        values={}, timeout=context.tuning.ping_timeout, urgent=urgent
     )
     try:
         yield pooled.conn
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -135,14 +135,15 @@
             if item.id == leader or not (writes and leader)
         ]
         return any(
-            item.pool.has_room() or (soon and item.pool.frees_soon()) for item in items
+            item.pool.has_capacity() or (soon and item.pool.may_free_soon())
+            for item in items
         )
 
     def trim(self):
         """Close connections that are not needed; the limit follows the daemons."""
         for item in self.upstreams.values():
             item.pool.set_limit(self.connection_limit())
-            item.pool.trim()
+            item.pool.close_surplus()
             item.admission.queue.limit = self.work_limit(item.member)
 
     def connection_limit(self):
@@ -215,7 +216,7 @@
             avoided=now < item.avoid_until,
             lagging=now < item.lagging_until,
             full=not item.admission.queue.has_room(now),
-            opening=item.pool.opening_cost(workspace),
+            opening=item.pool.dial_cost(workspace),
         )
 
     def takeover_under_way(self):
--- a/packages/sessions/gypsum_sessions/upstreams/upstream.py
+++ b/packages/sessions/gypsum_sessions/upstreams/upstream.py
@@ -74,7 +74,9 @@
         A slow statement alone says nothing against it. At the upstream's limit it takes
         a connection that we have already.
         """
-        return not self.unreachable and (self.pool.opened or not self.pool.at_limit)
+        return not self.unreachable and (
+            self.pool.open_count or not self.pool.refused_at_limit
+        )
 
     def reached(self, now):
         """It answered a question of the watch, over a connection that may be fresh."""
--- a/tests/sessions/breaks.py
+++ b/tests/sessions/breaks.py
@@ -80,9 +80,9 @@
     return transactions.aborted("broken on purpose")
 
 
-def take_any_idle(self, values, oldest=False, workspace=None):
+def take_any_idle(self, values, prefer_oldest=False, workspace=None):
     """A connection is taken whoever it was opened for."""
-    return KEPT_TAKE_IDLE(self, values, oldest)
+    return KEPT_TAKE_IDLE(self, values, prefer_oldest)
 
 
 KEPT_TAKE_IDLE = ConnPool.take_idle
--- a/tests/sessions/test_late_reads.py
+++ b/tests/sessions/test_late_reads.py
@@ -11,7 +11,7 @@
 async def hold_all(pool):
     """Take all connections that a pool gives out."""
     held = [await pool.acquire(values={}, timeout=1.0, workspace="")]
-    while pool.has_room():
+    while pool.has_capacity():
         held.append(await pool.acquire(values={}, timeout=1.0, workspace=""))
     return held
 
--- a/tests/sessions/test_pool.py
+++ b/tests/sessions/test_pool.py
@@ -84,7 +84,7 @@
             await pool.acquire(values={}, timeout=0.2)
         pool.release(held)
         pool.release(await pool.acquire(values={}, timeout=0.2))
-        assert pool.in_use == 0 and pool.opened == 1
+        assert pool.in_use == 0 and pool.open_count == 1
 
     run(main())
 
@@ -98,7 +98,7 @@
         held.conn.close()
         pool.release(held)
         assert (await waiting).alive
-        assert pool.opened == 1
+        assert pool.open_count == 1
 
     run(main())
 
@@ -121,7 +121,7 @@
         group["u1"].restart()
         await asyncio.sleep(DEFAULT_SESSION_TUNING.redial_most)
         pool.release(await pool.acquire(values={}, timeout=1.0))
-        assert pool.redial_after == 0.0
+        assert pool.dial_backoff == 0.0
 
     run(main())
 
@@ -184,7 +184,7 @@
         held = await pool.acquire(values={}, timeout=1.0)
         pool.close()
         pool.release(held)
-        assert not held.alive and pool.opened == 0
+        assert not held.alive and pool.open_count == 0
 
     run(main())
 
@@ -202,11 +202,11 @@
         held = [await pool.acquire(values={}, timeout=1.0) for _ in range(3)]
         for pooled in held:
             pool.release(pooled)
-        pool.trim()
-        assert pool.opened == 3
+        pool.close_surplus()
+        assert pool.open_count == 3
         await asyncio.sleep(DEFAULT_SESSION_TUNING.idle_limit + 0.1)
-        pool.trim()
-        assert pool.opened == 1 == len(group["u1"].conns)
+        pool.close_surplus()
+        assert pool.open_count == 1 == len(group["u1"].conns)
 
     run(main())
 
@@ -225,11 +225,11 @@
         held = [
             await pool.acquire(values={}, timeout=1.0, workspace=name) for name in "ab"
         ]
-        held.append(await pool.acquire(values={}, timeout=1.0, first=True))
+        held.append(await pool.acquire(values={}, timeout=1.0, urgent=True))
         for pooled in held:
             pool.release(pooled)
         third = await pool.acquire(values={}, timeout=0.1, workspace="c")
-        assert third.workspace == "c" and pool.opened <= pool.limit
+        assert third.workspace == "c" and pool.open_count <= pool.limit
 
     run(main())
 
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -310,7 +310,7 @@
         for caller in paused:
             await caller.send("BEGIN")
             assert (await caller.send(f"WRITE {caller.next_request} 1")).ok
-        assert not pool.has_room()
+        assert not pool.has_capacity()
         began = rig.loop.time()
         caller = rig.caller("own", other)
         await caller.send("BEGIN")
--- a/tests/sessions/test_workspaces.py
+++ b/tests/sessions/test_workspaces.py
@@ -314,6 +314,6 @@
             assert (await caller.send("READ a")).ok
         pool = rig.proxy.groups["db"].upstreams["u1"].pool
         assert pool.displaced
-        assert pool.opened <= pool.limit + 1
+        assert pool.open_count <= pool.limit + 1
 
     run(main())
