--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -12,7 +12,7 @@
 
 from gypsum_sessions.replies import Refusal, UpstreamError
 from gypsum_sessions.statements import BEGIN_READING, ROLLBACK, STATUS
-from gypsum_sessions.upstreams.upstream import is_ours
+from gypsum_sessions.upstreams.upstream import is_connection_shortage
 
 PART = "confirm"
 
@@ -69,7 +69,7 @@
     while not known_replicas(group, leader) and group.context.clock() < until:
         await asyncio.sleep(group.context.tuning.confirm_for)
     replicas = known_replicas(group, leader)
-    if any(item.askable for item in replicas):
+    if any(item.reachable for item in replicas):
         return True
     found = await gather_evidence(
         group, replicas, lambda item: ask_one(group, item, None, ask_alive)
@@ -87,7 +87,7 @@
     tuning = group.context.tuning
     replicas = known_replicas(group, leader)
     until = group.context.clock() + tuning.confirm_for
-    quick = [item for item in replicas if item.lag < tuning.confirm_for]
+    quick = [item for item in replicas if item.apply_lag < tuning.confirm_for]
     found = await gather_evidence(
         group, quick, lambda item: poll_applied(group, item, position, until)
     )
@@ -109,7 +109,9 @@
 
     What goes wrong when all are asked at once: every commit takes a slot of each.
     """
-    ranked = sorted(replicas, key=lambda item: (item.admission.queue.load, item.mean))
+    ranked = sorted(
+        replicas, key=lambda item: (item.admission.queue.load, item.mean_time)
+    )
     pause = group.context.tuning.confirm_hedge
     found = []
 
@@ -177,9 +179,9 @@
             break
         await asyncio.sleep(tuning.confirm_pause)
     if found is Evidence.HELD:
-        item.applied_after(clock() - began, tuning)
+        item.record_apply_lag(clock() - began, tuning)
     elif found is Evidence.LACKING:
-        item.applied_after(2 * tuning.confirm_for, tuning)
+        item.record_apply_lag(2 * tuning.confirm_for, tuning)
     return found
 
 
@@ -199,11 +201,11 @@
             evidence = await question(item, pooled.conn, position, context.tuning)
         finally:
             item.pool.release(pooled)
-        item.heard(context.clock())
+        item.record_response(context.clock())
         return evidence
     except UpstreamError as exc:
-        item.unreachable = item.unreachable or not is_ours(exc)
-        item.failed(exc, context.clock(), context.tuning)
+        item.unreachable = item.unreachable or not is_connection_shortage(exc)
+        item.record_failure(exc, context.clock(), context.tuning)
         context.log(PART, "replica not asked", upstream=item.id, error=str(exc))
         return Evidence.UNKNOWN
 
@@ -229,7 +231,7 @@
     if not reply.ok:
         return Evidence.UNKNOWN
     status = conn.read_status(reply)
-    item.applied_after(status.lag_ms / 1000, tuning)
+    item.record_apply_lag(status.lag_ms / 1000, tuning)
     received = status.received
     # An end of another term tells nothing: the position may have been cut off there.
     same_term = received.term == position.term
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -8,7 +8,7 @@
 from gypsum_sessions.catalog import ReadRule
 from gypsum_sessions.replies import KEY_WITHDRAWN, Refusal, Reply, UpstreamError
 from gypsum_sessions.takeover.floors import later
-from gypsum_sessions.upstreams.pooled import bring_level
+from gypsum_sessions.upstreams.pooled import sync_session_state
 
 PART = "read"
 # Refusals that another upstream may well answer differently.
@@ -182,7 +182,7 @@
     """Seconds after which a second upstream is asked as well."""
     tuning = group.context.tuning
     last = group.upstreams.get(job.tried[-1]) if job.tried else None
-    mean = last.mean if last else tuning.first_mean
+    mean = last.mean_time if last else tuning.first_mean
     delay = max(tuning.hedge_floor, tuning.hedge_factor * mean)
     return min(delay, job.left(group.context.clock))
 
@@ -210,7 +210,7 @@
             workspace=job.workspace,
         )
     except UpstreamError as exc:
-        item.failed(exc, clock(), context.tuning)
+        item.record_failure(exc, clock(), context.tuning)
         return Attempt(upstream=item.id, reply=None, detail=str(exc))
     try:
         reply = await ask_read(group, job, item, pooled)
@@ -218,7 +218,7 @@
         pooled.conn.close()
         raise
     except UpstreamError as exc:
-        item.failed(exc, clock(), context.tuning)
+        item.record_failure(exc, clock(), context.tuning)
         group.watch.doubt(item.id)
         context.log(
             PART,
@@ -239,7 +239,7 @@
     None if it is not needed any more.
     """
     context, clock = group.context, group.context.clock
-    await bring_level(
+    await sync_session_state(
         pooled,
         job.values,
         job.prepared,
@@ -258,7 +258,7 @@
         after=job.floor,
     )
     if reply.ok:
-        item.answered(clock() - started, reply.position, clock(), context.tuning)
+        item.record_answer(clock() - started, reply.position, clock(), context.tuning)
     note_refusal(context, item, pooled, reply)
     return reply
 
@@ -266,7 +266,7 @@
 def note_refusal(context, item, pooled, reply):
     """Draw conclusions from a refused read."""
     if reply.refusal is Refusal.LAGGING:
-        item.lacked(context.clock(), context.tuning)
+        item.record_behind(context.clock(), context.tuning)
     if reply.refusal is Refusal.UNKNOWN_NAME:
         pooled.dirty = True
     if reply.refusal is Refusal.BUSY:
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -145,7 +145,7 @@
     try:
         pooled = await take_live(group, item, job)
     except NotSent as exc:
-        item.failed(exc.__cause__, clock(), context.tuning)
+        item.record_failure(exc.__cause__, clock(), context.tuning)
         context.log(PART, "not begun", request=job.request, error=str(exc))
         return False
     try:
@@ -155,7 +155,7 @@
             statement, timeout=context.tuning.command_timeout, after=after
         )
     except UpstreamError as exc:
-        item.failed(exc, clock(), context.tuning)
+        item.record_failure(exc, clock(), context.tuning)
         pooled.conn.close()
         item.pool.release(pooled)
         context.log(PART, "not begun", request=job.request, error=str(exc))
@@ -164,7 +164,7 @@
         tx.pooled, tx.pool, tx.upstream = pooled, item.pool, item.id
         return True
     if reply.refusal is Refusal.LAGGING:
-        item.lacked(clock(), context.tuning)
+        item.record_behind(clock(), context.tuning)
     await finish(group, item.pool, pooled)
     return False
 
@@ -214,7 +214,7 @@
         if reply.ok:
             item = group.upstreams.get(tx.upstream)
             if item is not None:
-                item.answered(
+                item.record_answer(
                     clock() - started, reply.position, clock(), group.context.tuning
                 )
             return reply
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -14,7 +14,7 @@
     UpstreamSilent,
 )
 from gypsum_sessions.statements import ROLLBACK
-from gypsum_sessions.upstreams.pooled import bring_level
+from gypsum_sessions.upstreams.pooled import sync_session_state
 
 PART = "write"
 # Pause after a refusal by the leader, seconds: its queue is full or it steps down.
@@ -88,7 +88,9 @@
             return lost_write(group, job, item, exc)
         group.stall.end(number, clock())
         if reply.ok:
-            item.answered(clock() - asked_at, reply.position, clock(), context.tuning)
+            item.record_answer(
+                clock() - asked_at, reply.position, clock(), context.tuning
+            )
             if not await is_safe(
                 group, reply.position, item.id, patience=job.left(clock)
             ):
@@ -122,7 +124,7 @@
     """The reply for a write that was sent and not answered."""
     if isinstance(exc, UpstreamLost) and not exc.sent:
         raise NotSent(str(exc)) from exc
-    item.failed(exc, group.context.clock(), group.context.tuning)
+    item.record_failure(exc, group.context.clock(), group.context.tuning)
     silent = isinstance(exc, UpstreamSilent)
     group.context.log(
         PART, "in doubt", request=job.request, upstream=item.id, error=str(exc)
@@ -134,7 +136,7 @@
 async def level(group, job, pooled):
     """Bring a connection to the session's values."""
     tuning = group.context.tuning
-    await bring_level(
+    await sync_session_state(
         pooled,
         job.values,
         job.prepared,
--- a/packages/sessions/gypsum_sessions/measures.py
+++ b/packages/sessions/gypsum_sessions/measures.py
@@ -125,7 +125,7 @@
                 self.upstreams.set({**labels, "what": "dials"}, item.pool.dials)
                 displaced = item.pool.displaced
                 self.upstreams.set({**labels, "what": "displaced"}, displaced)
-                self.upstreams.set({**labels, "what": "mean_seconds"}, item.mean)
+                self.upstreams.set({**labels, "what": "mean_seconds"}, item.mean_time)
 
     def take_usage(self, usage):
         """Refresh what became of the operations of workspaces that have a cap."""
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -87,7 +87,7 @@
         since = self.leaderless_since
         if self.leader or since is None or now - since < OUT_OF_REACH:
             return False
-        return is_cut_off([item.heard_at for item in items], now)
+        return is_cut_off([item.last_response_at for item in items], now)
 
     async def wait_change(self, timeout):
         """Wait until the leader is found or lost."""
@@ -215,7 +215,7 @@
             if not exc.at_limit:
                 return None
             self.full_at = self.clock()
-            item.reached(self.clock())
+            item.record_probe_answer(self.clock())
             return self.keep_busy(item.id)
         except UpstreamError as exc:
             self.note("no proof", item.id, error=str(exc))
@@ -236,7 +236,7 @@
             position = await prove_leads(pooled.conn, timeout=self.tuning.ping_timeout)
         finally:
             item.pool.release(pooled)
-        item.reached(self.clock())
+        item.record_probe_answer(self.clock())
         return None if position is None else (item.id, position, asked_at)
 
     def keep_busy(self, target):
@@ -322,7 +322,7 @@
         except UpstreamError as exc:
             if isinstance(exc, UpstreamRefused) and exc.at_limit:
                 self.full_at = self.clock()
-                item.reached(self.clock())
+                item.record_probe_answer(self.clock())
             return None
 
     def found(self, upstream, position, asked_at):
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -116,7 +116,7 @@
             clock=self.context.clock,
         )
         self.upstreams[member.id] = Upstream(
-            member=member, pool=pool, admission=admission, mean=mean
+            member=member, pool=pool, admission=admission, mean_time=mean
         )
 
     def work_limit(self, member):
@@ -207,7 +207,7 @@
         member = item.member
         return Candidate(
             id=item.id,
-            expected=item.mean,
+            expected=item.mean_time,
             ahead=item.admission.queue.load,
             slots=member.slots,
             leads=item.id == self.watch.leader,
--- a/packages/sessions/gypsum_sessions/upstreams/pool.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pool.py
@@ -54,11 +54,12 @@
     async def acquire(
         self, *, values, timeout, urgent=False, prefer_oldest=False, workspace=None
     ):
-        """A connection, the one whose values fit best; raises UpstreamError.
+        """Acquire a connection, preferring one whose values match; raises UpstreamError.
 
-        `urgent` goes before all that wait, and may open one connection beyond the limit:
-        for short questions on which others wait. `prefer_oldest` prefers the connection that
-        was opened first. It is one of `workspace`; any will do where that is None.
+        An `urgent` caller goes before all waiting ones and may open one connection
+        beyond the limit: for short queries that others wait for. `prefer_oldest` picks
+        the idle connection that was opened first. The connection belongs to
+        `workspace`; with None, any connection will do.
         """
         until = self.clock() + timeout
         next_in_line = urgent
--- a/packages/sessions/gypsum_sessions/upstreams/pooled.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pooled.py
@@ -40,7 +40,7 @@
     return f"{'w' if writes else 'r'}_{shape}"
 
 
-async def bring_level(pooled, values, prepared, *, timeout, prepared_limit):
+async def sync_session_state(pooled, values, prepared, *, timeout, prepared_limit):
     """Set a connection's values and prepared statements to a session's.
 
     `prepared` lists the (shape, writes) that the next statement needs. Each step is
@@ -48,7 +48,7 @@
     another session's.
     """
     if needs_reset(pooled, values, prepared, prepared_limit):
-        await ask_or_lose(pooled, RESET, timeout)
+        await run_or_close(pooled, RESET, timeout)
         pooled.values.clear()
         pooled.prepared.clear()
         pooled.dirty = False
@@ -56,13 +56,13 @@
         if pooled.values.get(name) == value:
             continue
         pooled.dirty = True
-        await ask_or_lose(pooled, set_value(name, value), timeout)
+        await run_or_close(pooled, set_statement(name, value), timeout)
         pooled.values[name] = value
         pooled.dirty = False
     for shape, writes in prepared:
         if (shape, writes) in pooled.prepared:
             continue
-        await ask_or_lose(pooled, prepare(shape, writes), timeout)
+        await run_or_close(pooled, prepare_statement(shape, writes), timeout)
         pooled.prepared.add((shape, writes))
 
 
@@ -70,12 +70,12 @@
     """Tell whether a connection carries what the session must not see."""
     if pooled.in_transaction:
         return False
-    surplus = not pooled.values.keys() <= values.keys()
-    crowded = len(pooled.prepared | set(prepared)) > prepared_limit
-    return pooled.dirty or surplus or crowded
+    has_other_values = not pooled.values.keys() <= values.keys()
+    too_many_prepared = len(pooled.prepared | set(prepared)) > prepared_limit
+    return pooled.dirty or has_other_values or too_many_prepared
 
 
-async def ask_or_lose(pooled, statement, timeout):
+async def run_or_close(pooled, statement, timeout):
     """Run one of the proxy's own statements; any refusal loses the connection."""
     reply = await pooled.conn.ask(statement, timeout=timeout)
     if not reply.ok:
@@ -103,12 +103,12 @@
         pooled.conn.close()
 
 
-def set_value(name, value):
+def set_statement(name, value):
     """The statement that sets a session value."""
     return Statement(kind=StatementKind.SET, name=name, argument=value)
 
 
-def prepare(shape, writes):
+def prepare_statement(shape, writes):
     """The statement that prepares a shape under its shared name."""
     name = prepared_name(shape, writes)
     return Statement(kind=StatementKind.PREPARE, name=name, shape=shape, writes=writes)
