--- a/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
+++ b/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
@@ -319,8 +319,8 @@
     are idle.
     """
     if ask.transaction:
-        return group.has_connection(writes=ask.opens_writing)
-    return group.has_connection(writes=ask.statement.writes, soon=True)
+        return group.can_open_transaction(writes=ask.opens_writing)
+    return group.can_open_transaction(writes=ask.statement.writes, soon=True)
 
 
 def hands_on(ask, job, reply):
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -49,7 +49,7 @@
         group=group.name,
         position=str(position or ""),
         evidence=str(evidence),
-        takeover=group.takeover_under_way(),
+        takeover=group.takeover_in_progress(),
     )
     return False
 
@@ -132,13 +132,13 @@
     primary. Where all leave, their word is better than none. One that is not listed
     now may be unknown to a takeover that reads the list now.
     """
-    board = group.context.board
+    lease_view = group.context.lease_view
     known = [
         item
         for item in group.upstreams.values()
         if item.id != leader
         and item.member.missing_since is None
-        and board.knows(group.name, item.member.joined)
+        and lease_view.knows(group.name, item.member.joined)
     ]
     staying = [item for item in known if item.member.stays]
     return staying or known
@@ -163,7 +163,7 @@
             pending, timeout=left, return_when=asyncio.FIRST_COMPLETED
         )
         found.update({tasks[task]: task.result() for task in done})
-    group.keep_tasks(pending)
+    group.track_tasks(pending)
     return found
 
 
@@ -196,7 +196,7 @@
             prefer_oldest=True,
         )
         try:
-            if not context.board.trusts(group.name, pooled.opened_at):
+            if not context.lease_view.trusts(group.name, pooled.opened_at):
                 return Evidence.UNKNOWN
             evidence = await question(item, pooled.conn, position, context.tuning)
         finally:
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -143,7 +143,7 @@
 def leave_running(group, job, tasks):
     """Let attempts that are not needed any more end on their own."""
     job.over = True
-    group.keep_tasks(tasks)
+    group.track_tasks(tasks)
     job.leftovers |= tasks
 
 
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -103,7 +103,7 @@
             started_at=clock(),
             catalog=self.catalog,
             daemons=self.daemons,
-            board=self.board,
+            lease_view=self.board,
         )
         self.peers = Peers(dialer=links, daemons=self.daemons, clock=clock, log=log)
         self.relay = Relay(
@@ -289,7 +289,7 @@
         """Hand a group its members as the roster has them."""
         group = self.groups.get(name)
         if group is not None:
-            group.take_members(self.roster.of_group(name))
+            group.update_members(self.roster.of_group(name))
 
     # Sessions
 
@@ -398,7 +398,7 @@
             await self.end_idle_transactions()
             self.hosting.tend()
             for group in self.groups.values():
-                group.trim()
+                group.adjust_connections()
 
     async def keep_leases_known(self):
         """Read the leases anew when members are listed that are newer, for ever.
--- a/packages/sessions/gypsum_sessions/takeover/reach.py
+++ b/packages/sessions/gypsum_sessions/takeover/reach.py
@@ -51,7 +51,7 @@
             for name in daemons.owners(self.group.spec)
             if name != daemons.own.id and not self.peers.avoided(name)
         ]
-        self.group.keep_tasks({asyncio.create_task(self.ask(name)) for name in names})
+        self.group.track_tasks({asyncio.create_task(self.ask(name)) for name in names})
 
     async def ask(self, name):
         """Ask one owner whom it has proven to lead, and when."""
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -35,7 +35,7 @@
     log: EventLog
     domain: str
     daemons: Daemons
-    board: LeaseBoard
+    lease_view: LeaseBoard
     drain_seconds: float
     started_at: float
     catalog: Catalog
@@ -74,16 +74,16 @@
         found = self.upstreams.get(upstream)
         return found.member if found else None
 
-    def take_members(self, members):
+    def update_members(self, members):
         """Take in the group's members as the roster has them now."""
         listed = {member.id: member for member in members}
         for upstream in set(self.upstreams) - set(listed):
-            self.drop_member(self.upstreams.pop(upstream))
+            self.remove_member(self.upstreams.pop(upstream))
         for member in listed.values():
             self.departed_at.pop(member.id, None)
-            self.take_member(member)
+            self.update_member(member)
 
-    def drop_member(self, item):
+    def remove_member(self, item):
         """Close what is open to a member off the list; note when it went unasked."""
         item.pool.close()
         if not item.member.leaving:
@@ -93,7 +93,7 @@
         """Members that went off the list unasked at or after a moment."""
         return [name for name, at in self.departed_at.items() if at >= moment]
 
-    def take_member(self, member):
+    def update_member(self, member):
         """Add or refresh one upstream; one that moved gets a new pool."""
         known = self.upstreams.get(member.id)
         if known is not None and known.member.address == member.address:
@@ -123,7 +123,7 @@
         """Statements that this daemon may have at an upstream at once."""
         return work_limit(member.slots, self.context.daemons.owner_count(self.spec))
 
-    def has_connection(self, *, writes, soon=False):
+    def can_open_transaction(self, *, writes, soon=False):
         """Tell whether a transaction can be opened without waiting for a connection.
 
         With `soon` one will do that a single statement uses.
@@ -139,7 +139,7 @@
             for item in items
         )
 
-    def trim(self):
+    def adjust_connections(self):
         """Close connections that are not needed; the limit follows the daemons."""
         for item in self.upstreams.values():
             item.pool.set_limit(self.connection_limit())
@@ -182,10 +182,10 @@
         return [
             self.candidate(item, now, workspace)
             for item in self.upstreams.values()
-            if self.takes_work(item.member)
+            if self.accepts_work(item.member)
         ]
 
-    def takes_work(self, member):
+    def accepts_work(self, member):
         """Tell whether a member may be sent work: it stays, or left a moment ago.
 
         What goes wrong without it: a primary that leaves and cannot be replaced, as
@@ -200,7 +200,7 @@
         """The upstream that leads and takes work; None if there is none in time."""
         leader = await self.watch.wait_leader(timeout)
         item = self.upstreams.get(leader)
-        return item if item is not None and self.takes_work(item.member) else None
+        return item if item is not None and self.accepts_work(item.member) else None
 
     def candidate(self, item, now, workspace):
         """One upstream as the router sees it."""
@@ -219,15 +219,15 @@
             opening=item.pool.dial_cost(workspace),
         )
 
-    def takeover_under_way(self):
+    def takeover_in_progress(self):
         """Tell whether a takeover began a moment ago.
 
         A new leader does not end it: an order that was given up may still be carried
         out, and an earlier one may have taken effect in between.
         """
-        return self.context.board.under_way(self.name)
+        return self.context.lease_view.under_way(self.name)
 
-    def keep_tasks(self, tasks):
+    def track_tasks(self, tasks):
         """Hold on to tasks that finish on their own."""
         for task in tasks:
             self.tasks.add(task)
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -97,13 +97,13 @@
         group = rig.proxy.groups["db"]
         left = PromotionLease(holder="dead", token=3, revision=2)
         rig.proxy.board.note_first("db", replace(left, settled=True))
-        assert not group.takeover_under_way()
+        assert not group.takeover_in_progress()
         assert (await rig.caller("own").send("WRITE a 1")).ok
         rig.leases.lease = left
         rig.proxy.board.note_first("db", left)
-        assert group.takeover_under_way()
+        assert group.takeover_in_progress()
         await asyncio.sleep(1.1)
-        assert not group.takeover_under_way()
+        assert not group.takeover_in_progress()
         await asyncio.sleep(0.3)
         assert rig.leases.lease.settled and rig.leases.lease.token == 4
         assert (await rig.caller("own").send("WRITE a 2")).ok
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -269,7 +269,7 @@
         await rig.settle()
         proxy = rig.make_proxy("late", ["late", "d0"], rig.proxy.tuning, 1)
         group = proxy.groups["db"]
-        group.take_members([])
+        group.update_members([])
         await asyncio.sleep(2.0)
         proxy.take_members([m for m in rig.group.listing() if m.id != "u1"])
         await asyncio.sleep(1.5)
