--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -140,7 +140,7 @@
         and item.member.missing_since is None
         and lease_view.knows(group.name, item.member.joined)
     ]
-    staying = [item for item in known if item.member.stays]
+    staying = [item for item in known if item.member.active]
     return staying or known
 
 
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -89,7 +89,7 @@
         own = DaemonEntry(id=name, domain=domain, link=link_address)
         self.daemons = Daemons(own=own, all_watch_up_to=all_watch_up_to)
         self.roster = Roster(
-            clock=clock, missing_looks=round(tuning.missing_grace / TEND_EVERY)
+            clock=clock, missing_checks=round(tuning.missing_grace / TEND_EVERY)
         )
         self.recorder = MemberRecorder(records=records, log=log)
         self.board = LeaseBoard(clock=clock, rest=tuning.settled_after)
@@ -242,7 +242,7 @@
 
     def take_member(self, member):
         """Take in one changed upstream."""
-        kept = self.roster.seen(member)
+        kept = self.roster.update(member)
         if kept is None:
             self.log(PART, "entry of an earlier start ignored", upstream=member.id)
             return
@@ -265,13 +265,13 @@
         while the primary and another replica are about to be listed again.
         """
         self.recorder.note(group, members)
-        self.roster.recall(members)
+        self.roster.add_recorded(members)
         self.refresh_members(group)
 
     def drop_member(self, name):
         """An upstream's entry vanished from the list, or became unusable."""
         self.log(PART, "upstream not listed any more", upstream=name)
-        self.roster.gone(name)
+        self.roster.mark_missing(name)
         for name in self.groups:
             self.refresh_members(name)
 
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -321,7 +321,7 @@
         if member is None:
             return PromoteOutcome.NOT_DONE
         return await self.promoter.promote(
-            self.group.name, member.called, self.daemon, self.lease.token
+            self.group.name, member.stable_name, self.daemon, self.lease.token
         )
 
     def note_outcome(self, upstream, outcome):
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -85,7 +85,7 @@
         replicas = [
             item
             for item in group.upstreams.values()
-            if item is not leader and item.member.stays
+            if item is not leader and item.member.active
         ]
         if leader is None or not replicas:
             return False
@@ -101,5 +101,5 @@
         return [
             member.id
             for member in self.group.members()
-            if member.id != leader and member.stays
+            if member.id != leader and member.active
         ]
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -82,7 +82,7 @@
         return [
             Paused(
                 upstream=item.id,
-                leaving=not item.member.stays,
+                leaving=not item.member.active,
                 held_before=before.held_term > 0,
                 status=paused[item.id],
             )
@@ -104,7 +104,7 @@
             self.log("no heir, not all replicas answer", statuses=str(statuses))
             return None
         found = [
-            Paused(upstream=item.id, leaving=not item.member.stays, status=status)
+            Paused(upstream=item.id, leaving=not item.member.active, status=status)
             for item, status in zip(others, known, strict=True)
         ]
         chosen = heir or choose_heir(found)
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -212,7 +212,7 @@
             slots=member.slots,
             leads=item.id == self.watch.leader,
             far=member.domain != self.context.domain,
-            leaving=not member.stays,
+            leaving=not member.active,
             avoided=now < item.avoid_until,
             lagging=now < item.lagging_until,
             full=not item.admission.queue.has_room(now),
--- a/packages/sessions/gypsum_sessions/upstreams/roster.py
+++ b/packages/sessions/gypsum_sessions/upstreams/roster.py
@@ -37,17 +37,17 @@
     missing_since: float | None = None
 
     @property
-    def called(self):
+    def stable_name(self):
         """What the upstream and the platform call it."""
         return self.name or self.id
 
     @property
-    def stays(self):
+    def active(self):
         """Tell whether it is listed and has not said that it leaves."""
         return not self.leaving and self.missing_since is None
 
 
-def restarted(member):
+def with_restart_revision(member):
     """A member that started again under an entry that may be older than its start.
 
     What goes wrong with the entry's own age: a takeover that was under way has paused
@@ -57,7 +57,7 @@
     return replace(member, joined=max(member.joined, member.changed))
 
 
-def returned(known, member):
+def store_was_restored(known, member):
     """Tell whether the store has returned from a copy since an entry was known."""
     return not same_era(known.changed, member.changed)
 
@@ -65,20 +65,20 @@
 class Roster:
     """All known upstreams."""
 
-    def __init__(self, *, clock, missing_looks):
+    def __init__(self, *, clock, missing_checks):
         self.clock = clock
-        self.missing_looks = missing_looks
+        self.missing_checks = missing_checks
         self.members = {}
         # The id of the newest incarnation under each name.
         self.newest = {}
-        self.looks = Counter()
+        self.missed_checks = Counter()
 
-    def keep(self, member):
+    def store(self, member):
         """Know a member, as the newest of its name."""
         self.members[member.id] = member
-        self.newest[member.called] = member.id
+        self.newest[member.stable_name] = member.id
 
-    def seen(self, member):
+    def update(self, member):
         """Take in an entry of the list; returns it as it is kept.
 
         None for an entry of an incarnation that another has replaced already.
@@ -88,12 +88,12 @@
             if other.born > member.born:
                 return None
             del self.members[other.id]
-            member = restarted(member)
+            member = with_restart_revision(member)
         known = self.members.get(member.id)
         if known is not None and known.changed and known.joined > member.joined:
             # It restarted under its entry, which is older than this incarnation.
             member = replace(member, joined=known.joined)
-        if known is not None and known.leaving and returned(known, member):
+        if known is not None and known.leaving and store_was_restored(known, member):
             # The copy may be older than its report that it drains.
             member = replace(member, leaving=True)
         since = known.leaving_since if known else None
@@ -103,19 +103,19 @@
             member,
             leaving_since=since if member.leaving else None,
         )
-        self.keep(kept)
+        self.store(kept)
         return kept
 
-    def recall(self, members):
+    def add_recorded(self, members):
         """Take in members on record that are not listed: missing, for their grace."""
         for member in members:
             if member.id in self.members:
                 continue
             other = self.other_incarnation(member)
             if other is None:
-                self.keep(replace(member, missing_since=self.clock()))
+                self.store(replace(member, missing_since=self.clock()))
             elif other.born > member.born:
-                self.keep(restarted(other))
+                self.store(with_restart_revision(other))
 
     def other_incarnation(self, member):
         """The known member of the same name that started at another time, or None.
@@ -123,22 +123,22 @@
         What goes wrong when all are looked through for each: a list of hundreds of
         upstreams takes a daemon tenths of a second, at its start of all times.
         """
-        known = self.members.get(self.newest.get(member.called, ""))
+        known = self.members.get(self.newest.get(member.stable_name, ""))
         return known if known is not None and known.id != member.id else None
 
-    def gone(self, name):
+    def mark_missing(self, name):
         """An entry vanished: the upstream left, or the store lost its lease."""
         known = self.members.get(self.newest.get(name, ""))
         if known is not None and known.missing_since is None:
-            self.keep(replace(known, missing_since=self.clock()))
+            self.store(replace(known, missing_since=self.clock()))
 
     def replace_all(self, members):
         """Take in a whole list: what it lacks is missing."""
-        listed = {member.called for member in members}
+        listed = {member.stable_name for member in members}
         for member in members:
-            self.seen(member)
-        for name in {member.called for member in self.members.values()} - listed:
-            self.gone(name)
+            self.update(member)
+        for name in {member.stable_name for member in self.members.values()} - listed:
+            self.mark_missing(name)
 
     def expire(self):
         """One look: drop members that were missing in so many; returns them.
@@ -149,14 +149,18 @@
         missing = [
             item for item in self.members.values() if item.missing_since is not None
         ]
-        self.looks = Counter({item.id: self.looks[item.id] + 1 for item in missing})
+        self.missed_checks = Counter(
+            {item.id: self.missed_checks[item.id] + 1 for item in missing}
+        )
         expired = [
-            item for item in missing if self.looks[item.id] >= self.missing_looks
+            item
+            for item in missing
+            if self.missed_checks[item.id] >= self.missing_checks
         ]
         for member in expired:
             del self.members[member.id]
-            if self.newest.get(member.called) == member.id:
-                del self.newest[member.called]
+            if self.newest.get(member.stable_name) == member.id:
+                del self.newest[member.stable_name]
         return expired
 
     def of_group(self, group):
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -88,7 +88,7 @@
 def test_an_upstream_that_starts_again_is_another_member():
     first, second = read_member(entry(born=5)), read_member(entry(born=6))
     assert first.id != second.id
-    assert first.called == second.called == "i-1"
+    assert first.stable_name == second.stable_name == "i-1"
 
 
 @pytest.mark.parametrize("name", NEEDED)
--- a/tests/sessions/fakegroup.py
+++ b/tests/sessions/fakegroup.py
@@ -480,7 +480,7 @@
     async def dial(self, member, *, timeout, workspace=""):
         """Open a connection."""
         self.dials += 1
-        target_member = self.group[member.called]
+        target_member = self.group[member.stable_name]
         if target_member.replaced:
             await asyncio.sleep(0.005)
             raise UpstreamRefused(
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -27,7 +27,7 @@
 
 def make_roster():
     """A roster whose clock stands still."""
-    return Roster(clock=lambda: 100.0, missing_looks=10)
+    return Roster(clock=lambda: 100.0, missing_checks=10)
 
 
 def test_a_new_start_replaces_the_earlier_one_at_once():
@@ -37,8 +37,8 @@
     earlier start stays a member of its own until its grace is over.
     """
     roster = make_roster()
-    roster.seen(FIRST)
-    roster.seen(SECOND)
+    roster.update(FIRST)
+    roster.update(SECOND)
     assert list(roster.members) == ["u@2"]
 
 
@@ -50,30 +50,30 @@
     is older than the lease, so the new process counted as known to the takeover.
     """
     roster = make_roster()
-    roster.seen(FIRST)
-    assert roster.seen(SECOND).joined == 9
-    assert roster.seen(replace(SECOND, changed=12)).joined == 9
+    roster.update(FIRST)
+    assert roster.update(SECOND).joined == 9
+    assert roster.update(replace(SECOND, changed=12)).joined == 9
 
 
 def test_a_late_entry_of_an_earlier_start_is_ignored():
     roster = make_roster()
-    roster.seen(SECOND)
-    assert roster.seen(FIRST) is None
+    roster.update(SECOND)
+    assert roster.update(FIRST) is None
     assert list(roster.members) == ["u@2"]
 
 
 def test_a_start_that_is_on_record_and_over_is_not_recalled():
     roster = make_roster()
-    roster.seen(SECOND)
-    roster.recall([FIRST])
+    roster.update(SECOND)
+    roster.add_recorded([FIRST])
     assert list(roster.members) == ["u@2"]
     assert roster.members["u@2"].joined == 9
 
 
 def test_an_entry_that_vanishes_is_missing_whatever_its_start():
     roster = make_roster()
-    roster.seen(SECOND)
-    roster.gone("u")
+    roster.update(SECOND)
+    roster.mark_missing("u")
     assert roster.members["u@2"].missing_since == 100.0
 
 
@@ -236,7 +236,7 @@
 def test_only_the_end_of_several_starts_is_seen():
     """The list is read anew after an outage: one start is over that nobody saw."""
     roster = make_roster()
-    roster.seen(FIRST)
+    roster.update(FIRST)
     third = replace(FIRST, id="u@3", born=3, changed=20)
     roster.replace_all([third])
     assert list(roster.members) == ["u@3"]
