--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -19,7 +19,7 @@
 from gypsum_sessions.takeover.leaseboard import LeaseBoard
 from gypsum_sessions.upstreams.group import GroupContext
 from gypsum_sessions.upstreams.hosting import Hosting
-from gypsum_sessions.upstreams.recorder import LOOK_EVERY, MemberRecorder
+from gypsum_sessions.upstreams.recorder import CHECK_INTERVAL, MemberRecorder
 from gypsum_sessions.upstreams.roster import Roster
 
 PART = "proxy"
@@ -264,7 +264,7 @@
         daemon that has just started finds no primary among them and promotes one,
         while the primary and another replica are about to be listed again.
         """
-        self.recorder.note(group, members)
+        self.recorder.set_recorded(group, members)
         self.roster.add_recorded(members)
         self.refresh_members(group)
 
@@ -430,12 +430,12 @@
     async def keep_records(self):
         """Keep the groups' members on record, for ever."""
         while True:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(CHECK_INTERVAL)
             if self.board.known_to < 0:
                 continue
             for name, group in list(self.groups.items()):
                 place = self.takeovers[name].place()
-                await self.recorder.look(name, group.members(), place)
+                await self.recorder.check(name, group.members(), place)
 
     async def end_idle_transactions(self):
         """Roll back transactions whose callers have been silent for too long."""
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -28,7 +28,7 @@
 
     def find(self):
         """The reason to act now, or None."""
-        if not self.group.upstreams or not self.recorder.knows(self.group.name):
+        if not self.group.upstreams or not self.recorder.has_record(self.group.name):
             # Without a record the list may have gaps, and nothing tells who is missing.
             return None
         delay = self.place() * self.context.tuning.rank_delay
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -465,7 +465,7 @@
         for proxy in rig.proxies:
             proxy.take_members(rig.group.listing())
             if "db" in rig.records.saved:
-                proxy.recorder.note("db", rig.records.saved["db"])
+                proxy.recorder.set_recorded("db", rig.records.saved["db"])
             if not rig.leases.down:
                 rig.catch_up(proxy)
 
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -212,7 +212,7 @@
         proxy.offer_catalog(self.configured(version, self.keys, self.caps), "test")
         proxy.take_members(self.group.listing())
         self.catch_up(proxy)
-        proxy.recorder.note("db", self.group.listing())
+        proxy.recorder.set_recorded("db", self.group.listing())
         return proxy
 
     def configured(self, version, keys, caps=None, **changes):
--- a/tests/sessions/test_recorder.py
+++ b/tests/sessions/test_recorder.py
@@ -6,11 +6,11 @@
 from gypsum_sessions.replies import Refusal
 from gypsum_sessions.takeover.attempt import LOOK_EVERY as TAKEOVER_LOOK
 from gypsum_sessions.upstreams.recorder import (
-    FIRST_RECORD_AFTER,
-    LOOK_EVERY,
-    RECORD_AFTER,
-    RECORD_STEP,
-    RETRY_AFTER,
+    CHECK_INTERVAL,
+    FIRST_RECORD_AFTER_CHECKS,
+    RECORD_AFTER_CHECKS,
+    RECORD_CHECKS_PER_RANK,
+    RETRY_AFTER_CHECKS,
 )
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
@@ -23,9 +23,9 @@
         proxy.keep_running(proxy.keep_records)
 
 
-async def looks(count):
+async def wait_checks(count):
     """Let that many looks pass, and a bit."""
-    await asyncio.sleep((count + 2.5) * LOOK_EVERY)
+    await asyncio.sleep((count + 2.5) * CHECK_INTERVAL)
 
 
 def names(members):
@@ -37,17 +37,17 @@
     async def main():
         rig = Rig(daemons=3)
         start_recording(rig)
-        await looks(FIRST_RECORD_AFTER)
+        await wait_checks(FIRST_RECORD_AFTER_CHECKS)
         assert rig.records.saves == 1
         assert names(rig.records.saved["db"]) == {"u1", "u2", "u3"}
         for proxy in rig.proxies:
-            proxy.recorder.note("db", rig.records.saved["db"])
-        await looks(4 * RECORD_STEP)
+            proxy.recorder.set_recorded("db", rig.records.saved["db"])
+        await wait_checks(4 * RECORD_CHECKS_PER_RANK)
         assert rig.records.saves == 1
         rig.group.add(1)
         for proxy in rig.proxies:
             proxy.take_members(rig.group.listing())
-        await looks(RECORD_AFTER)
+        await wait_checks(RECORD_AFTER_CHECKS)
         assert rig.records.saves == 2
 
     run(main())
@@ -62,7 +62,7 @@
             proxy.take_members(rig.group.listing())
             if proxy is not first:
                 proxy.keep_running(proxy.keep_records)
-        await looks(RECORD_AFTER + RECORD_STEP)
+        await wait_checks(RECORD_AFTER_CHECKS + RECORD_CHECKS_PER_RANK)
         assert rig.records.saves == 1
 
     run(main())
@@ -73,10 +73,10 @@
         rig = Rig()
         rig.records.down = True
         start_recording(rig)
-        await looks(FIRST_RECORD_AFTER)
+        await wait_checks(FIRST_RECORD_AFTER_CHECKS)
         assert rig.records.saved == {}
         rig.records.down = False
-        await looks(RETRY_AFTER)
+        await wait_checks(RETRY_AFTER_CHECKS)
         assert names(rig.records.saved["db"]) == {"u1", "u2", "u3"}
 
     run(main())
@@ -93,15 +93,15 @@
     async def main():
         rig = Rig()
         start_recording(rig)
-        await looks(0)
+        await wait_checks(0)
         rig.loop.suspended += 60.0
-        await looks(2)
+        await wait_checks(2)
         assert rig.records.saved == {}
 
     run(main())
 
 
-def start_with_a_part(rig, listed):
+def start_with_partial_list(rig, listed):
     """A daemon that starts while the list has only some members."""
     proxy = rig.make_proxy("late", ["late"], rig.proxy.tuning, 1)
     for name in list(proxy.roster.members):
@@ -130,7 +130,7 @@
         assert (await rig.caller("own").send("WRITE a 1")).ok
         rig.proxy.stop()
         rig.group["u1"].dark = rig.group["u2"].dark = True
-        late = start_with_a_part(rig, {"u3"})
+        late = start_with_partial_list(rig, {"u3"})
         await asyncio.sleep(1.9)
         assert rig.group.promotions == []
         rig.group["u1"].dark = rig.group["u2"].dark = False
@@ -151,7 +151,7 @@
     async def main():
         rig = Rig()
         rig.proxy.stop()
-        late = start_with_a_part(rig, set())
+        late = start_with_partial_list(rig, set())
         caller = rig.caller("own", late)
         assert (await caller.send("READ a")).ok
         assert (await caller.send("WRITE a 1")).refusal is Refusal.BUSY
@@ -197,14 +197,14 @@
         rig = Rig(daemons=3)
         start_recording(rig)
         for proxy in rig.proxies:
-            proxy.recorder.note("db", rig.group.listing())
-            proxy.recorder.keep_listed(["db"])
-        await looks(RECORD_AFTER + 2 * RECORD_STEP)
+            proxy.recorder.set_recorded("db", rig.group.listing())
+            proxy.recorder.invalidate_unlisted(["db"])
+        await wait_checks(RECORD_AFTER_CHECKS + 2 * RECORD_CHECKS_PER_RANK)
         assert rig.records.saves == 0
         for proxy in rig.proxies:
-            proxy.recorder.keep_listed([])
-            assert proxy.recorder.knows("db")
-        await looks(RECORD_AFTER)
+            proxy.recorder.invalidate_unlisted([])
+            assert proxy.recorder.has_record("db")
+        await wait_checks(RECORD_AFTER_CHECKS)
         assert rig.records.saves == 1
 
     run(main())
