--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -235,7 +235,7 @@
     "modest start": lambda: without(*tuned(modest_for=0.0)),
     "closing of idle connections": lambda: without(*tuned(idle_limit=NEVER)),
     "trial of connections before writes": lambda: without(
-        (writes, "take_live", untried)
+        (writes, "acquire_verified", untried)
     ),
 }
 
--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -246,7 +246,7 @@
             self.note_withdrawn(reply)
             return self.outside(reply)
         reply = await access.read(job)
-        still_running = self.leftovers | job.leftovers
+        still_running = self.leftovers | job.running_attempts
         self.leftovers = {task for task in still_running if not task.done()}
         self.note_withdrawn(reply)
         return self.outside(reply)
--- a/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
+++ b/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
@@ -28,8 +28,8 @@
     encode,
 )
 from gypsum_sessions.execution.jobs import Job
-from gypsum_sessions.execution.reads import run_read, withdrawn
-from gypsum_sessions.execution.transactions import Transaction, aborted
+from gypsum_sessions.execution.reads import key_withdrawn_reply, run_read
+from gypsum_sessions.execution.transactions import Transaction, aborted_reply
 from gypsum_sessions.execution.writes import run_write
 from gypsum_sessions.replies import KEY_WITHDRAWN, Refusal, Reply
 
@@ -104,7 +104,7 @@
         elif isinstance(message, Fetch):
             self.proxy.spawn(self.proxy.relay.send_whole(self, message.feed))
         elif isinstance(message, TakeUp):
-            self.proxy.hosting.serve(message.group)
+            self.proxy.hosting.start_for_peer(message.group)
 
     def lost(self, why):
         """The link is gone: so is all that it had."""
@@ -141,7 +141,7 @@
 
     async def serve(self, ask):
         """Run one statement and answer it."""
-        group = self.proxy.hosting.serve(ask.route.group)
+        group = self.proxy.hosting.start_for_peer(ask.route.group)
         unable = self.why_unable(ask, group)
         if unable:
             self.answer(Answer(call=ask.call, reply=refused(unable), unable=True))
@@ -166,15 +166,15 @@
                 role=str(group.role_of(job.served_by) or ""),
                 floor=job.floor,
                 floor_age=job.floor_age,
-                unfinished=job.unfinished(
+                unfinished=job.attempts_time_left(
                     self.proxy.clock, self.proxy.tuning.ping_timeout
                 ),
-                queue=job.queue,
+                queue=job.queue_wait,
                 unable=hands_on(ask, job, reply),
             )
         )
-        if ask.hears_ends and any(not task.done() for task in job.leftovers):
-            self.proxy.spawn(self.tell_end(ask.call, job.leftovers))
+        if ask.hears_ends and any(not task.done() for task in job.running_attempts):
+            self.proxy.spawn(self.tell_end(ask.call, job.running_attempts))
 
     async def refuse_withdrawn(self, ask):
         """Refuse a caller whose key counts no more, as we know and who asks does not.
@@ -192,9 +192,9 @@
             peer=self.peer,
         )
         if not ask.transaction or ask.first:
-            return withdrawn()
+            return key_withdrawn_reply()
         await self.end(ask.transaction)
-        return aborted(KEY_WITHDRAWN)
+        return aborted_reply(KEY_WITHDRAWN)
 
     def why_unable(self, ask, group):
         """Why a statement is left to another daemon; empty if it is run here."""
@@ -233,7 +233,7 @@
         held = self.held.get(ask.transaction)
         if held is None:
             if not ask.first:
-                return aborted("the transaction is not known here")
+                return aborted_reply("the transaction is not known here")
             transaction = Transaction(
                 group=group,
                 route=ask.route,
@@ -243,7 +243,7 @@
             held = self.held[ask.transaction] = Held(transaction=transaction)
         async with held.lock:
             if held.ended or self.closed:
-                return aborted("the transaction was ended")
+                return aborted_reply("the transaction was ended")
             held.request = ask.request
             held.transaction.values_set = ask.values_set
             reply = await self.run_held(held, job)
@@ -330,7 +330,7 @@
     a slow machine perhaps, while others could serve them.
     """
     inside = bool(ask.transaction) and not ask.first
-    return not reply.ok and bool(job.queue) and not ask.last_resort and not inside
+    return not reply.ok and bool(job.queue_wait) and not ask.last_resort and not inside
 
 
 def job_of(ask, proxy):
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -15,7 +15,7 @@
 from gypsum_sessions.daemons.asks import Answer, Ask, EndTransaction
 from gypsum_sessions.daemons.peers import PeerLost
 from gypsum_sessions.daemons.standins import STAND_INS
-from gypsum_sessions.execution.transactions import aborted
+from gypsum_sessions.execution.transactions import aborted_reply
 from gypsum_sessions.replies import Refusal, Reply
 
 PART = "remote"
@@ -60,7 +60,7 @@
         the owners a moment after the others, whose callers are all turned away.
         """
         clock = self.context.clock
-        until = clock() + job.left(clock) * self.context.tuning.leader_wait_share
+        until = clock() + job.time_left(clock) * self.context.tuning.leader_wait_share
         asked_all = False
         while True:
             reply = await self.run_round(job, repeats=repeats, asked_all=asked_all)
@@ -77,10 +77,10 @@
         """Ask each owner once; the first reply, None if nobody could run it."""
         unable = 0
         for name in self.owners(job.workspace):
-            if job.left(self.context.clock) <= 0:
+            if job.time_left(self.context.clock) <= 0:
                 break
             try:
-                link = await self.peers.link(name, job.left(self.context.clock))
+                link = await self.peers.link(name, job.time_left(self.context.clock))
                 if not repeats:
                     await link.try_out()
                 answer = await self.ask(
@@ -90,8 +90,10 @@
                 self.note_lost(job, name, exc)
                 if exc.sent:
                     job.may_have_run = True
-                    job.leftovers.add(
-                        asyncio.create_task(asyncio.sleep(job.left(self.context.clock)))
+                    job.running_attempts.add(
+                        asyncio.create_task(
+                            asyncio.sleep(job.time_left(self.context.clock))
+                        )
                     )
                 if exc.sent and not repeats:
                     return in_doubt(exc)
@@ -106,7 +108,7 @@
         """Keep in mind that a read may still run at its owner."""
         if answer.unfinished:
             ending = link.read_ends(answer.call, answer.unfinished)
-            job.leftovers.add(asyncio.create_task(ending))
+            job.running_attempts.add(asyncio.create_task(ending))
 
     def last_resort(self, name, asked_all, unable):
         """Tell whether an owner has to try although it leaves or has just started."""
@@ -125,7 +127,7 @@
     async def ask(self, link, job, **how):
         """Ask one owner; raises PeerLost. `how` are fields of Ask."""
         job.owner = link.peer
-        left = job.left(self.context.clock)
+        left = job.time_left(self.context.clock)
         return await link.ask_timed(
             lambda call: Ask(
                 call=call,
@@ -180,7 +182,7 @@
         except PeerLost as exc:
             await self.close()
             self.access.note_lost(job, exc.peer, exc)
-            return aborted(str(exc))
+            return aborted_reply(str(exc))
         reply = take(job, answer)
         if not reply.ok:
             self.over = True
@@ -192,7 +194,7 @@
             answer = await self.ask(job)
         except PeerLost as exc:
             self.access.note_lost(job, exc.peer, exc)
-            return in_doubt(exc) if exc.sent and self.wrote else aborted(str(exc))
+            return in_doubt(exc) if exc.sent and self.wrote else aborted_reply(str(exc))
         finally:
             self.over = True
         return take(job, answer)
@@ -223,7 +225,7 @@
         """
         clock = self.access.context.clock
         share = self.access.context.tuning.leader_wait_share
-        until = clock() + job.left(clock) * share
+        until = clock() + job.time_left(clock) * share
         asked_all = False
         while clock() < until:
             answer = await self.open_round(job, asked_all)
@@ -253,7 +255,7 @@
         """Take the link to an owner if it works; tell whether it does."""
         try:
             link = await self.access.peers.link(
-                name, job.left(self.access.context.clock)
+                name, job.time_left(self.access.context.clock)
             )
             await link.try_out()
         except PeerLost as exc:
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -25,16 +25,16 @@
     UNKNOWN = "unknown"
 
 
-async def is_safe(group, position, leader, *, patience):
+async def is_confirmed(group, position, leader, *, timeout):
     """Tell whether a commit at a position may be passed on as done.
 
-    The replicas are asked again for `patience` seconds: one may be behind for a moment,
-    or all our connections to it in use.
+    Replicas are queried again until `timeout` seconds have passed: one may lag for a
+    moment, or all of this daemon's connections to it may be in use.
     """
     if not group.spec.sync_replicas:
         return True
     context = group.context
-    until = context.clock() + patience
+    until = context.clock() + timeout
     evidence = Evidence.UNKNOWN
     while position is not None:
         evidence = await find_evidence(group, position, leader)
@@ -54,7 +54,7 @@
     return False
 
 
-async def can_confirm(group, leader, *, patience):
+async def can_confirm(group, leader, *, timeout):
     """Tell whether a commit could be confirmed; asks silent replicas once more.
 
     What goes wrong without it: a daemon that is cut off from the replicas goes on
@@ -65,7 +65,7 @@
     """
     if not group.spec.sync_replicas:
         return True
-    until = group.context.clock() + patience
+    until = group.context.clock() + timeout
     while not known_replicas(group, leader) and group.context.clock() < until:
         await asyncio.sleep(group.context.tuning.confirm_for)
     replicas = known_replicas(group, leader)
@@ -87,16 +87,16 @@
     tuning = group.context.tuning
     replicas = known_replicas(group, leader)
     until = group.context.clock() + tuning.confirm_for
-    quick = [item for item in replicas if item.apply_lag < tuning.confirm_for]
+    low_lag = [item for item in replicas if item.apply_lag < tuning.confirm_for]
     found = await gather_evidence(
-        group, quick, lambda item: poll_applied(group, item, position, until)
+        group, low_lag, lambda item: poll_applied(group, item, position, until)
     )
     if Evidence.HELD in found.values():
         return Evidence.HELD
     lagging = [
         item for item in replicas if found.get(item.id) in (None, Evidence.LACKING)
     ]
-    found |= await ask_in_turn(group, lagging, position)
+    found |= await ask_received_hedged(group, lagging, position)
     if Evidence.HELD in found.values():
         return Evidence.HELD
     found = found.values()
@@ -104,7 +104,7 @@
     return Evidence.UNKNOWN if unknown else Evidence.LACKING
 
 
-async def ask_in_turn(group, replicas, position):
+async def ask_received_hedged(group, replicas, position):
     """Ask what replicas have received, the least loaded first, then the others.
 
     What goes wrong when all are asked at once: every commit takes a slot of each.
@@ -144,13 +144,13 @@
     return staying or known
 
 
-async def gather_evidence(group, replicas, question):
+async def gather_evidence(group, replicas, query):
     """What each replica says, by id; ends with the first that has the position.
 
     One that is silent is not waited for beyond the time of an ordinary answer: after
     a failover the old primary is, and every commit would wait for it.
     """
-    tasks = {asyncio.create_task(question(item)): item.id for item in replicas}
+    tasks = {asyncio.create_task(query(item)): item.id for item in replicas}
     found = dict.fromkeys(tasks.values(), Evidence.UNKNOWN)
     tuning, clock = group.context.tuning, group.context.clock
     until = clock() + tuning.confirm_for + tuning.confirm_margin
@@ -185,7 +185,7 @@
     return found
 
 
-async def ask_one(group, item, position, question):
+async def ask_one(group, item, position, query):
     """What one replica says of a position."""
     context = group.context
     try:
@@ -198,7 +198,7 @@
         try:
             if not context.lease_view.trusts(group.name, pooled.opened_at):
                 return Evidence.UNKNOWN
-            evidence = await question(item, pooled.conn, position, context.tuning)
+            evidence = await query(item, pooled.conn, position, context.tuning)
         finally:
             item.pool.release(pooled)
         item.record_response(context.clock())
--- a/packages/sessions/gypsum_sessions/execution/jobs.py
+++ b/packages/sessions/gypsum_sessions/execution/jobs.py
@@ -1,4 +1,4 @@
-"""One statement on its way, and what is noted of it for the log."""
+"""A caller's statement in execution, with what the request log reports of it."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -19,17 +19,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class Job:
-    """A caller's statement with all that decides where it may run.
+    """A caller's statement and everything that decides where it may run.
 
     `arrived` and `deadline` are on the daemon's clock. `prepared` lists the
-    (shape, writes) that the statement needs at its upstream. `own_floor` is the
-    session's last commit. `leftovers` are attempts still running after the reply.
-    `over` says that it was answered: attempts that still wait for a turn give up.
-    `tried` are the upstreams asked, in order, `served_by` the one that answered, `role`
-    whether it led then. `owner` is the daemon that it was sent to, if not this one;
-    `may_have_run` says that one was asked that has not answered. `queue` is the time in
-    seconds of the queue for which it was refused. `credential` is what its caller was
-    let in with.
+    (shape, writes) pairs that the statement needs at its upstream. `own_floor` is the
+    session's last commit. `running_attempts` are attempts that still run after the
+    reply. `answered` is set once the caller has its answer, so that attempts that still
+    wait for admission give up. `tried` lists the upstreams asked, in order; `served_by`
+    is the one that answered and `role` whether it led at that time. `owner` is the
+    daemon that the job was sent to, if not this one; `may_have_run` is set while one
+    was asked and has not answered. `queue_wait` is the queue's wait in seconds for
+    which the job was refused. `credential` is what its caller was authenticated with.
     """
 
     request: str
@@ -40,42 +40,42 @@
     values: dict[str, str]
     prepared: tuple[tuple[str, bool], ...] = ()
     own_floor: Position | None = None
-    leftovers: set = field(default_factory=set)
+    running_attempts: set = field(default_factory=set)
     tried: list[str] = field(default_factory=list)
     served_by: str = ""
     role: str = ""
     floor: Position | None = None
     floor_age: float = 0.0
-    over: bool = False
+    answered: bool = False
     owner: str = ""
     may_have_run: bool = False
-    queue: float = 0.0
+    queue_wait: float = 0.0
     credential: Credential = NOBODY
 
     @property
     def workspace(self):
-        """Whose work it is; empty where callers show no key."""
+        """Workspace that the statement runs for; empty if callers need no key."""
         return self.credential.workspace
 
-    def claim(self):
-        """What decides when it comes: its answer is due by its route's target."""
-        began = self.deadline - self.route.statement_timeout
+    def admission_request(self):
+        """Priority, target time and deadline that decide its place in the queue."""
+        started_at = self.deadline - self.route.statement_timeout
         return Claim(
             priority=self.route.priority,
-            aim=began + self.route.latency_target,
+            aim=started_at + self.route.latency_target,
             deadline=self.deadline,
         )
 
-    def unfinished(self, clock, least):
-        """Seconds for which attempts of this daemon may still run, 0 if none does.
+    def attempts_time_left(self, clock, least):
+        """Seconds for which attempts of this daemon may still run, 0 if none runs.
 
-        `least` is how long one may at the end of the job's time. What goes wrong
-        without it: a read that is answered in its last moment counts as ended, its
-        session sets a value, and an upstream runs it with the old one.
+        At least `least` while one runs, also at the deadline. Otherwise a read that is
+        answered in its last moment would count as ended: its session sets a value, and
+        an upstream still runs the read with the old value.
         """
-        running = any(not task.done() for task in self.leftovers)
-        return max(self.left(clock), least) if running else 0.0
+        running = any(not task.done() for task in self.running_attempts)
+        return max(self.time_left(clock), least) if running else 0.0
 
-    def left(self, clock):
-        """Seconds until the deadline, not below zero."""
+    def time_left(self, clock):
+        """Seconds until the deadline, never negative."""
         return max(0.0, self.deadline - clock())
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -12,7 +12,7 @@
 
 PART = "read"
 # Refusals that another upstream may well answer differently.
-ELSEWHERE = frozenset(
+RETRY_ELSEWHERE = frozenset(
     {
         Refusal.BUSY,
         Refusal.LAGGING,
@@ -43,13 +43,13 @@
     @property
     def final(self):
         """Tell whether the caller gets this."""
-        return self.reply is not None and self.reply.refusal not in ELSEWHERE
+        return self.reply is not None and self.reply.refusal not in RETRY_ELSEWHERE
 
 
 async def find_floor(group, job):
     """Set the position that the job's read has to show; False if none is proven."""
     context = group.context
-    wait = job.left(context.clock) * context.tuning.leader_wait_share
+    wait = job.time_left(context.clock) * context.tuning.leader_wait_share
     floor = await group.watch.floor_since(job.arrived - job.route.max_age, wait)
     if floor is None:
         return False
@@ -61,75 +61,75 @@
 async def run_read(group, job):
     """Run a read wherever it lawfully may; returns the caller's reply."""
     if not await find_floor(group, job):
-        return no_leader(group.context.tuning)
-    while job.left(group.context.clock) > 0:
+        return no_leader_reply(group.context.tuning)
+    while job.time_left(group.context.clock) > 0:
         if not group.candidates():
-            return no_leader(group.context.tuning)
-        attempt = await race(group, job)
+            return no_leader_reply(group.context.tuning)
+        attempt = await run_round(group, job)
         if attempt is not None and attempt.final:
             job.served_by = attempt.upstream
             return attempt.reply
         if attempt is not None and attempt.wait is not None:
-            return overloaded(job, attempt.wait)
+            return overloaded_reply(job, attempt.wait)
         await asyncio.sleep(ROUND_PAUSE)
     return Reply(refusal=Refusal.TIMEOUT, detail="no upstream answered in time")
 
 
-async def race(group, job):
+async def run_round(group, job):
     """One round over the upstreams: the next is asked when one refuses or is slow.
 
     Returns the first final attempt, else the last one, None if there was none.
     """
     running = set()
     try:
-        return await run_race(group, job, running)
+        return await run_attempts(group, job, running)
     except asyncio.CancelledError:
         for task in running:
             task.cancel()
         raise
 
 
-async def run_race(group, job, running):
+async def run_attempts(group, job, running):
     """The round; `running` holds the attempts that are under way."""
     order, last = upstream_order(group, job), None
     while order or running:
         if order:
-            upstream = next_upstream(group, order, must=not running)
+            upstream = next_upstream(group, order, force=not running)
             running |= start_attempt(group, job, upstream)
         if not running:
             continue
-        wait = hedge_delay(group, job) if order else job.left(group.context.clock)
+        wait = hedge_delay(group, job) if order else job.time_left(group.context.clock)
         done, _ = await asyncio.wait(
             running, timeout=wait, return_when=asyncio.FIRST_COMPLETED
         )
         running -= done
         for task in done:
-            last = better(last, task.result())
+            last = better_attempt(last, task.result())
             if last.final:
-                leave_running(group, job, running)
+                detach_attempts(group, job, running)
                 return last
-        if job.left(group.context.clock) <= 0:
+        if job.time_left(group.context.clock) <= 0:
             break
-    leave_running(group, job, running)
+    detach_attempts(group, job, running)
     return last
 
 
-def next_upstream(group, order, *, must):
+def next_upstream(group, order, *, force):
     """Take the next upstream to ask out of the order; None if it is better to wait.
 
     What goes wrong when a slow read is asked elsewhere whatever waits there: under a
     load that all feel, every read is run twice, and nothing is answered any more.
     """
     now = group.context.clock()
-    for upstream in order if not must else order[:1]:
+    for upstream in order if not force else order[:1]:
         item = group.upstreams.get(upstream)
-        if must or (item is not None and item.admission.queue.has_room(now)):
+        if force or (item is not None and item.admission.queue.has_room(now)):
             order.remove(upstream)
             return upstream
     return None
 
 
-def better(first, second):
+def better_attempt(first, second):
     """Of two attempts the one that says more: an answer, else a shorter queue."""
     if first is None or second.final:
         return second
@@ -140,11 +140,11 @@
     return min(first, second, key=lambda item: item.wait)
 
 
-def leave_running(group, job, tasks):
+def detach_attempts(group, job, tasks):
     """Let attempts that are not needed any more end on their own."""
-    job.over = True
+    job.answered = True
     group.track_tasks(tasks)
-    job.leftovers |= tasks
+    job.running_attempts |= tasks
 
 
 def start_attempt(group, job, upstream):
@@ -154,15 +154,15 @@
         return set()
     job.tried.append(upstream)
     try:
-        place = item.admission.enqueue(job.claim())
+        place = item.admission.enqueue(job.admission_request())
     except Hopeless as exc:
-        return {asyncio.create_task(give_up(item, exc))}
+        return {asyncio.create_task(rejected_attempt(item, exc))}
     task = asyncio.create_task(attempt_read(group, job, item, place))
     task.add_done_callback(lambda _: place.release())
     return {task}
 
 
-async def give_up(item, exc):
+async def rejected_attempt(item, exc):
     """The attempt at an upstream whose queue is too long."""
     return Attempt(upstream=item.id, reply=None, detail=str(exc), wait=exc.wait)
 
@@ -184,29 +184,29 @@
     last = group.upstreams.get(job.tried[-1]) if job.tried else None
     mean = last.mean_time if last else tuning.first_mean
     delay = max(tuning.hedge_floor, tuning.hedge_factor * mean)
-    return min(delay, job.left(group.context.clock))
+    return min(delay, job.time_left(group.context.clock))
 
 
 async def attempt_read(group, job, item, place):
     """Ask one upstream in its turn; never raises an UpstreamError."""
     try:
         async with place:
-            if job.over:
+            if job.answered:
                 return Attempt(upstream=item.id, reply=None, detail="answered before")
             if not group.context.catalog.stands(job.credential):
-                return Attempt(upstream=item.id, reply=withdrawn())
-            return await attempt_now(group, job, item)
+                return Attempt(upstream=item.id, reply=key_withdrawn_reply())
+            return await send_attempt(group, job, item)
     except Hopeless as exc:
-        return await give_up(item, exc)
+        return await rejected_attempt(item, exc)
 
 
-async def attempt_now(group, job, item):
+async def send_attempt(group, job, item):
     """Ask one upstream now."""
     context, clock = group.context, group.context.clock
     try:
         pooled = await item.pool.acquire(
             values=job.values,
-            timeout=job.left(clock) or context.tuning.ping_timeout,
+            timeout=job.time_left(clock) or context.tuning.ping_timeout,
             workspace=job.workspace,
         )
     except UpstreamError as exc:
@@ -246,24 +246,24 @@
         timeout=context.tuning.command_timeout,
         prepared_limit=context.tuning.prepared_limit,
     )
-    if job.over:
+    if job.answered:
         # Answered elsewhere while this attempt waited for its connection. What goes
         # wrong when it is sent: it runs after its session's values have changed.
         return None
     started = clock()
     reply = await pooled.conn.ask(
         job.statement,
-        timeout=max(job.left(clock), context.tuning.ping_timeout),
+        timeout=max(job.time_left(clock), context.tuning.ping_timeout),
         request=job.request,
         after=job.floor,
     )
     if reply.ok:
         item.record_answer(clock() - started, reply.position, clock(), context.tuning)
-    note_refusal(context, item, pooled, reply)
+    record_refusal(context, item, pooled, reply)
     return reply
 
 
-def note_refusal(context, item, pooled, reply):
+def record_refusal(context, item, pooled, reply):
     """Draw conclusions from a refused read."""
     if reply.refusal is Refusal.LAGGING:
         item.record_behind(context.clock(), context.tuning)
@@ -273,9 +273,9 @@
         item.admission.queue.turned_away(context.clock())
 
 
-def overloaded(job, wait):
+def overloaded_reply(job, wait):
     """The refusal of work that cannot be answered in time; it has not run."""
-    job.queue = wait
+    job.queue_wait = wait
     return Reply(
         refusal=Refusal.BUSY,
         detail=f"not run, the queue takes {wait * 1000:.0f} ms",
@@ -283,12 +283,12 @@
     )
 
 
-def withdrawn():
+def key_withdrawn_reply():
     """The refusal of work whose caller's key was withdrawn while it waited."""
     return Reply(refusal=Refusal.UNKNOWN_KEY, detail=f"not run, {KEY_WITHDRAWN}")
 
 
-def no_leader(tuning):
+def no_leader_reply(tuning):
     """The refusal of work that needs a leader while there is none."""
     return Reply(
         refusal=Refusal.BUSY,
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -6,20 +6,20 @@
 
 from gypsum_policy.admission import Hopeless
 from gypsum_sessions.catalog import Route
-from gypsum_sessions.execution.confirm import can_confirm, is_safe
+from gypsum_sessions.execution.confirm import can_confirm, is_confirmed
 from gypsum_sessions.execution.reads import (
     find_floor,
-    no_leader,
-    overloaded,
+    key_withdrawn_reply,
+    no_leader_reply,
+    overloaded_reply,
     upstream_order,
-    withdrawn,
 )
 from gypsum_sessions.execution.writes import (
     NotSent,
-    level,
-    take_live,
-    unconfirmable,
-    unconfirmed,
+    acquire_verified,
+    cannot_confirm_reply,
+    sync_session,
+    unconfirmed_reply,
 )
 from gypsum_sessions.replies import (
     Refusal,
@@ -38,7 +38,7 @@
 BUSY_PAUSE = 0.03
 
 
-class Withdrawn(Exception):
+class KeyWithdrawn(Exception):
     """The caller's key was withdrawn while its transaction waited to be opened."""
 
 
@@ -81,10 +81,10 @@
         try:
             refused = await opened(group, tx, job)
         except Hopeless as exc:
-            return overloaded(job, exc.wait)
-        except Withdrawn:
-            return withdrawn()
-        if refused is None or job.left(group.context.clock) <= 0:
+            return overloaded_reply(job, exc.wait)
+        except KeyWithdrawn:
+            return key_withdrawn_reply()
+        if refused is None or job.time_left(group.context.clock) <= 0:
             return refused
         if tx.pooled is None and refused.refusal is not Refusal.LAGGING:
             return refused
@@ -94,25 +94,25 @@
 async def open_writing(group, tx, job):
     """BEGIN at the leader; the upstream refuses if it does not lead."""
     context, clock = group.context, group.context.clock
-    wait_until = clock() + job.left(clock) * context.tuning.leader_wait_share
+    wait_until = clock() + job.time_left(clock) * context.tuning.leader_wait_share
     while clock() < wait_until:
         item = await group.wait_writable(wait_until - clock())
         if item is None:
             break
-        patience = wait_until - clock()
-        if not await can_confirm(group, item.id, patience=patience):
-            return unconfirmable(context.tuning)
+        timeout = wait_until - clock()
+        if not await can_confirm(group, item.id, timeout=timeout):
+            return cannot_confirm_reply(context.tuning)
         if await begin_at(group, tx, job, item, BEGIN_WRITING):
             return None
         group.watch.doubt(item.id)
         await asyncio.sleep(BUSY_PAUSE)
-    return no_leader(context.tuning)
+    return no_leader_reply(context.tuning)
 
 
 async def open_reading(group, tx, job):
     """BEGIN READ at whichever upstream has the floor."""
     if not await find_floor(group, job):
-        return no_leader(group.context.tuning)
+        return no_leader_reply(group.context.tuning)
     for upstream in upstream_order(group, job):
         item = group.upstreams.get(upstream)
         if item is None:
@@ -133,23 +133,23 @@
     transactions hold all of them while what is worth more waits.
     """
     job.tried.append(item.id)
-    async with item.admission.enqueue(job.claim()):
+    async with item.admission.enqueue(job.admission_request()):
         if not group.context.catalog.stands(job.credential):
-            raise Withdrawn
-        return await begin_now(group, tx, job, item, statement, after)
+            raise KeyWithdrawn
+        return await send_begin(group, tx, job, item, statement, after)
 
 
-async def begin_now(group, tx, job, item, statement, after):
+async def send_begin(group, tx, job, item, statement, after):
     """Open the transaction at one upstream; tell whether it is open."""
     context, clock = group.context, group.context.clock
     try:
-        pooled = await take_live(group, item, job)
+        pooled = await acquire_verified(group, item, job)
     except NotSent as exc:
         item.record_failure(exc.__cause__, clock(), context.tuning)
         context.log(PART, "not begun", request=job.request, error=str(exc))
         return False
     try:
-        await level(group, job, pooled)
+        await sync_session(group, job, pooled)
         pooled.in_transaction = True
         reply = await pooled.conn.ask(
             statement, timeout=context.tuning.command_timeout, after=after
@@ -165,7 +165,7 @@
         return True
     if reply.refusal is Refusal.LAGGING:
         item.record_behind(clock(), context.tuning)
-    await finish(group, item.pool, pooled)
+    await roll_back_and_release(group, item.pool, pooled)
     return False
 
 
@@ -178,19 +178,19 @@
     job.tried, job.served_by = [tx.upstream], tx.upstream
     tx.wrote = tx.wrote or job.statement.writes
     try:
-        await level(group, job, tx.pooled)
+        await sync_session(group, job, tx.pooled)
         async with count_statement(group, tx):
-            reply = await ask_until_run(group, tx, job)
+            reply = await send_until_accepted(group, tx, job)
     except UpstreamError as exc:
         group.watch.doubt(tx.upstream)
         await abandon(group, tx)
-        return aborted(str(exc))
+        return aborted_reply(str(exc))
     if reply.ok and reply.state is SessionState.IN_TRANSACTION:
         return reply
     await close(group, tx)
     if reply.refusal is Refusal.READ_ONLY:
         group.watch.doubt(tx.upstream)
-    return aborted(f"{reply.refusal} {reply.detail}")
+    return aborted_reply(f"{reply.refusal} {reply.detail}")
 
 
 def count_statement(group, tx):
@@ -203,13 +203,13 @@
     return item.admission.unqueued() if item is not None else nullcontext()
 
 
-async def ask_until_run(group, tx, job):
+async def send_until_accepted(group, tx, job):
     """Send a statement, again while the upstream's queue is full."""
     clock = group.context.clock
     while True:
         started = clock()
         reply = await tx.pooled.conn.ask(
-            job.statement, timeout=job.left(clock), request=job.request
+            job.statement, timeout=job.time_left(clock), request=job.request
         )
         if reply.ok:
             item = group.upstreams.get(tx.upstream)
@@ -224,7 +224,7 @@
         item = group.upstreams.get(tx.upstream)
         if item is not None:
             item.admission.queue.turned_away(clock())
-        if job.left(clock) <= 2 * BUSY_PAUSE:
+        if job.time_left(clock) <= 2 * BUSY_PAUSE:
             return reply
         await asyncio.sleep(BUSY_PAUSE)
 
@@ -236,15 +236,17 @@
         if refused is not None:
             return refused
     job.tried, job.served_by = [tx.upstream], tx.upstream
-    patience = job.left(group.context.clock) * group.context.tuning.leader_wait_share
-    if tx.wrote and not await can_confirm(group, tx.upstream, patience=patience):
+    timeout = (
+        job.time_left(group.context.clock) * group.context.tuning.leader_wait_share
+    )
+    if tx.wrote and not await can_confirm(group, tx.upstream, timeout=timeout):
         await close(group, tx)
-        return aborted("no replica can be asked")
+        return aborted_reply("no replica can be asked")
     asked_at = group.context.clock()
     number = group.stall.begin(asked_at) if tx.wrote else 0
     try:
         async with count_statement(group, tx):
-            reply = await ask_until_run(group, tx, job)
+            reply = await send_until_accepted(group, tx, job)
         if number:
             group.stall.end(number, group.context.clock())
     except UpstreamError as exc:
@@ -260,16 +262,16 @@
         )
         not_sent = isinstance(exc, UpstreamLost) and not exc.sent
         if not_sent or not tx.wrote:
-            return aborted(str(exc))
+            return aborted_reply(str(exc))
         return Reply(refusal=Refusal.IN_DOUBT, detail=f"may be committed, {exc}")
     tx.pooled.in_transaction = reply.state is not SessionState.IDLE
     await close(group, tx)
     if reply.ok:
         if not tx.wrote:
             return reply
-        left = job.left(group.context.clock)
-        if not await is_safe(group, reply.position, tx.upstream, patience=left):
-            return unconfirmed()
+        left = job.time_left(group.context.clock)
+        if not await is_confirmed(group, reply.position, tx.upstream, timeout=left):
+            return unconfirmed_reply()
         if reply.position is not None:
             group.floors.learn(reply.position, asked_at)
         return reply
@@ -282,10 +284,10 @@
     unclear = reply.refusal in (Refusal.FAILED, Refusal.TIMEOUT, Refusal.IN_DOUBT)
     if unclear and tx.wrote:
         return Reply(refusal=Refusal.IN_DOUBT, detail=f"commit {reply.refusal}")
-    return aborted(f"commit {reply.refusal} {reply.detail}")
+    return aborted_reply(f"commit {reply.refusal} {reply.detail}")
 
 
-def aborted(detail):
+def aborted_reply(detail):
     """Nothing of the transaction is kept: no COMMIT was sent, or it was refused."""
     return Reply(refusal=Refusal.ABORTED, detail=f"rolled back, {detail}")
 
@@ -305,10 +307,10 @@
         return
     if tx.values_set:
         pooled.dirty = True
-    await finish(group, tx.pool, pooled)
+    await roll_back_and_release(group, tx.pool, pooled)
 
 
-async def finish(group, pool, pooled):
+async def roll_back_and_release(group, pool, pooled):
     """Roll back if needed, then release."""
     try:
         if pooled.alive and pooled.in_transaction:
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -3,8 +3,12 @@
 import asyncio
 
 from gypsum_policy.admission import Hopeless
-from gypsum_sessions.execution.confirm import can_confirm, is_safe
-from gypsum_sessions.execution.reads import no_leader, overloaded, withdrawn
+from gypsum_sessions.execution.confirm import can_confirm, is_confirmed
+from gypsum_sessions.execution.reads import (
+    key_withdrawn_reply,
+    no_leader_reply,
+    overloaded_reply,
+)
 from gypsum_sessions.replies import (
     NOT_RUN,
     Refusal,
@@ -28,23 +32,23 @@
 async def run_write(group, job):
     """Run a write; it is tried again only while it provably has not run."""
     context, clock = group.context, group.context.clock
-    wait_until = clock() + job.left(clock) * context.tuning.leader_wait_share
+    wait_until = clock() + job.time_left(clock) * context.tuning.leader_wait_share
     last = None
     while clock() < wait_until:
         item = await group.wait_writable(wait_until - clock())
         if item is None:
             break
-        patience = wait_until - clock()
-        if not await can_confirm(group, item.id, patience=patience):
-            return unconfirmable(context.tuning)
+        timeout = wait_until - clock()
+        if not await can_confirm(group, item.id, timeout=timeout):
+            return cannot_confirm_reply(context.tuning)
         job.tried.append(item.id)
         try:
-            async with item.admission.enqueue(job.claim()):
+            async with item.admission.enqueue(job.admission_request()):
                 if not context.catalog.stands(job.credential):
-                    return withdrawn()
+                    return key_withdrawn_reply()
                 reply = await try_write(group, job, item)
         except Hopeless as exc:
-            return overloaded(job, exc.wait)
+            return overloaded_reply(job, exc.wait)
         except NotSent as exc:
             context.log(PART, "not sent", request=job.request, error=str(exc))
             await asyncio.sleep(REFUSED_PAUSE)
@@ -59,7 +63,7 @@
             group.watch.doubt(item.id)
         await asyncio.sleep(REFUSED_PAUSE)
     if last is None:
-        return no_leader(context.tuning)
+        return no_leader_reply(context.tuning)
     return Reply(
         refusal=Refusal.BUSY,
         detail=f"not run, {last.refusal}",
@@ -70,10 +74,10 @@
 async def try_write(group, job, item):
     """One try at the leader; raises NotSent if the write did not leave us."""
     context, clock = group.context, group.context.clock
-    pooled = await take_live(group, item, job)
+    pooled = await acquire_verified(group, item, job)
     try:
         try:
-            await level(group, job, pooled)
+            await sync_session(group, job, pooled)
         except UpstreamError as exc:
             group.watch.doubt(item.id)
             raise NotSent(str(exc)) from exc
@@ -81,7 +85,7 @@
         number = group.stall.begin(asked_at)
         try:
             reply = await pooled.conn.ask(
-                job.statement, timeout=job.left(clock), request=job.request
+                job.statement, timeout=job.time_left(clock), request=job.request
             )
         except UpstreamError as exc:
             group.watch.doubt(item.id)
@@ -91,10 +95,10 @@
             item.record_answer(
                 clock() - asked_at, reply.position, clock(), context.tuning
             )
-            if not await is_safe(
-                group, reply.position, item.id, patience=job.left(clock)
+            if not await is_confirmed(
+                group, reply.position, item.id, timeout=job.time_left(clock)
             ):
-                return unconfirmed()
+                return unconfirmed_reply()
             if reply.position is not None:
                 group.floors.learn(reply.position, asked_at)
         if reply.refusal is Refusal.UNKNOWN_NAME:
@@ -104,7 +108,7 @@
         item.pool.release(pooled)
 
 
-def unconfirmable(tuning):
+def cannot_confirm_reply(tuning):
     """The refusal of a write whose commit no replica could confirm."""
     return Reply(
         refusal=Refusal.BUSY,
@@ -113,7 +117,7 @@
     )
 
 
-def unconfirmed():
+def unconfirmed_reply():
     """The reply for a commit that a takeover might not find."""
     return Reply(
         refusal=Refusal.IN_DOUBT, detail="may have run, no known replica has it"
@@ -133,7 +137,7 @@
     return Reply(refusal=Refusal.IN_DOUBT, detail=f"may have run, {detail}")
 
 
-async def level(group, job, pooled):
+async def sync_session(group, job, pooled):
     """Bring a connection to the session's values."""
     tuning = group.context.tuning
     await sync_session_state(
@@ -145,7 +149,7 @@
     )
 
 
-async def take_live(group, item, job):
+async def acquire_verified(group, item, job):
     """A connection that has just answered; raises NotSent.
 
     What goes wrong without the trial: something between us and the upstream has
@@ -157,7 +161,7 @@
         try:
             pooled = await item.pool.acquire(
                 values=job.values,
-                timeout=job.left(group.context.clock),
+                timeout=job.time_left(group.context.clock),
                 workspace=job.workspace,
             )
         except UpstreamError as exc:
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -18,7 +18,7 @@
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
 from gypsum_sessions.takeover.leaseboard import LeaseBoard
 from gypsum_sessions.upstreams.group import GroupContext
-from gypsum_sessions.upstreams.hosting import Hosting
+from gypsum_sessions.upstreams.hosting import HostedGroups
 from gypsum_sessions.upstreams.recorder import CHECK_INTERVAL, MemberRecorder
 from gypsum_sessions.upstreams.roster import Roster
 
@@ -127,7 +127,7 @@
         )
         self.desks = set()
         self.awake_at = clock()
-        self.hosting = Hosting(proxy=self)
+        self.hosting = HostedGroups(proxy=self)
         self.groups = self.hosting.groups
         self.takeovers = self.hosting.takeovers
         self.sessions = {}
@@ -172,7 +172,7 @@
         for name, group in self.groups.items():
             group.spec = candidate.groups.get(name, group.spec)
         self.end_withdrawn()
-        self.hosting.tend()
+        self.hosting.reconcile()
 
     def end_withdrawn(self):
         """End the sessions whose key counts no more under the version in force.
@@ -207,7 +207,7 @@
         """Take in the whole list of daemons."""
         self.daemons.take_all(entries)
         self.usage.list_changed()
-        self.hosting.tend()
+        self.hosting.reconcile()
 
     def take_daemon(self, entry):
         """A daemon registered, or changed its entry; groups are tended to soon."""
@@ -396,7 +396,7 @@
                 self.refresh_members(member.group)
             self.drop_missing()
             await self.end_idle_transactions()
-            self.hosting.tend()
+            self.hosting.reconcile()
             for group in self.groups.values():
                 group.adjust_connections()
 
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -10,10 +10,10 @@
 PART = "hosting"
 # A group that others own is left when nobody has asked for this long, seconds: longer
 # than an owner takes to come back after a restart.
-LEAVE_AFTER = 10.0
+RELEASE_AFTER = 10.0
 
 
-class Hosting:
+class HostedGroups:
     """Takes groups up that this daemon owns or is asked for, and leaves the others."""
 
     def __init__(self, *, proxy):
@@ -22,11 +22,11 @@
         self.takeovers = {}
         self.reaches = {}
         self.tasks = {}
-        self.asked_at = {}
+        self.requested_at = {}
         # Daemons that were known at the last look, since when there are so many, and
         # since when there is a list.
-        self.fleet = 0
-        self.grown_at = self.listed_at = float("inf")
+        self.daemon_count = 0
+        self.last_growth_at = self.first_listed_at = float("inf")
         self.settled = False
 
     def spec(self, name):
@@ -34,32 +34,32 @@
         current = self.proxy.catalog.current
         return current.groups.get(name) if current else None
 
-    def tend(self):
+    def reconcile(self):
         """Work with the groups that this daemon owns, and leave those it does not."""
         if not self.proxy.daemons.listed:
             return
-        self.look_at_fleet()
+        self.check_daemon_list()
         if self.proxy.catalog.current is None or not self.settled:
             return
         for name, spec in self.proxy.catalog.current.groups.items():
             if self.proxy.daemons.owns(spec):
                 self.start(spec)
-            elif name in self.groups and self.may_leave(name):
-                self.leave(name)
+            elif name in self.groups and self.can_release(name):
+                self.release(name)
 
-    def look_at_fleet(self):
+    def check_daemon_list(self):
         """Notice when the list of daemons is whole for the first time."""
         if self.settled:
             return
         now, known = self.proxy.clock(), len(self.proxy.daemons.known)
-        self.listed_at = min(self.listed_at, now)
-        if known > self.fleet:
-            self.grown_at = now
-        self.fleet = known
+        self.first_listed_at = min(self.first_listed_at, now)
+        if known > self.daemon_count:
+            self.last_growth_at = now
+        self.daemon_count = known
         self.settled = has_settled(
             rejoined=self.proxy.daemons.rejoined,
-            listed_for=now - self.listed_at,
-            unchanged_for=now - self.grown_at,
+            listed_for=now - self.first_listed_at,
+            unchanged_for=now - self.last_growth_at,
         )
 
     def start(self, spec):
@@ -89,16 +89,16 @@
         self.proxy.log(PART, "group taken up", group=spec.name)
         return group
 
-    def may_leave(self, name):
+    def can_release(self, name):
         """Tell whether nobody has needed our connections to a group for a while."""
         if self.takeovers[name].attempting:
             return False
         items = self.groups[name].upstreams.values()
         if any(item.pool.in_use for item in items):
             return False
-        return self.proxy.clock() - self.asked_at.get(name, 0.0) > LEAVE_AFTER
+        return self.proxy.clock() - self.requested_at.get(name, 0.0) > RELEASE_AFTER
 
-    def leave(self, name):
+    def release(self, name):
         """Close what we hold of a group that others own."""
         for task in self.tasks.pop(name):
             task.cancel()
@@ -107,7 +107,7 @@
         del self.reaches[name]
         self.proxy.log(PART, "group left to its owners", group=name)
 
-    def serve(self, name):
+    def start_for_peer(self, name):
         """A group for which another daemon asks us, or None if it is not known.
 
         Also one that we do not own: the other daemon reaches none of its owners, or
@@ -116,7 +116,7 @@
         spec = self.spec(name)
         if spec is None:
             return None
-        self.asked_at[name] = self.proxy.clock()
+        self.requested_at[name] = self.proxy.clock()
         return self.start(spec)
 
     def access(self, name):
--- a/tests/sessions/breaks.py
+++ b/tests/sessions/breaks.py
@@ -17,7 +17,7 @@
 from gypsum_sessions.upstreams.pool import ConnPool
 
 
-async def pass_on_every_commit(group, position, leader, *, patience):
+async def pass_on_every_commit(group, position, leader, *, timeout):
     """Commits are passed on unconfirmed."""
     return True
 
@@ -63,7 +63,7 @@
     """A COMMIT without an answer is told as rolled back."""
     reply = await KEPT_COMMIT(group, tx, job)
     if reply.refusal is Refusal.IN_DOUBT:
-        return transactions.aborted("broken on purpose")
+        return transactions.aborted_reply("broken on purpose")
     return reply
 
 
@@ -77,7 +77,7 @@
 
 def told_as_rolled_back(exc):
     """Work that may have reached an upstream is told as rolled back."""
-    return transactions.aborted("broken on purpose")
+    return transactions.aborted_reply("broken on purpose")
 
 
 def take_any_idle(self, values, prefer_oldest=False, workspace=None):
@@ -89,8 +89,8 @@
 
 BREAKS = {
     "every commit is passed on": [
-        (writes, "is_safe", pass_on_every_commit),
-        (transactions, "is_safe", pass_on_every_commit),
+        (writes, "is_confirmed", pass_on_every_commit),
+        (transactions, "is_confirmed", pass_on_every_commit),
     ],
     "floors of any age": [(Floors, "since", oldest_floor)],
     "nobody is paused": [(ReplicationControl, "pause_all", pause_nobody)],
--- a/tests/sessions/test_late_reads.py
+++ b/tests/sessions/test_late_reads.py
@@ -60,9 +60,9 @@
             deadline=1.0,
             values={},
         )
-        assert job.unfinished(lambda: 1.0, 0.3) == 0.0
-        job.leftovers.add(asyncio.create_task(asyncio.sleep(9.0)))
-        assert job.unfinished(lambda: 1.0, 0.3) == 0.3
-        assert job.unfinished(lambda: 0.2, 0.3) == 0.8
+        assert job.attempts_time_left(lambda: 1.0, 0.3) == 0.0
+        job.running_attempts.add(asyncio.create_task(asyncio.sleep(9.0)))
+        assert job.attempts_time_left(lambda: 1.0, 0.3) == 0.3
+        assert job.attempts_time_left(lambda: 0.2, 0.3) == 0.8
 
     run(main())
