--- a/packages/sessions/gypsum_sessions/upstreams/__init__.py
+++ b/packages/sessions/gypsum_sessions/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Upstreams of a group: who they are, connections to them, the groups held here."""
+"""Upstreams of a group: membership, connections, and the groups held by this daemon."""
--- a/packages/sessions/gypsum_sessions/upstreams/borrow.py
+++ b/packages/sessions/gypsum_sessions/upstreams/borrow.py
@@ -1,4 +1,4 @@
-"""Connections for short questions and commands, apart from callers' statements."""
+"""Connections for the daemon's own queries and commands to upstreams."""
 
 from contextlib import asynccontextmanager
 
@@ -9,8 +9,8 @@
 async def borrow_connection(context, item, *, urgent=False):
     """A connection of the pool; if all are in use, an urgent one is opened apart.
 
-    Commands of a takeover must not wait behind callers' statements. Where the
-    upstream takes no further connection they wait all the same. Raises UpstreamError.
+    Commands of a takeover must not wait behind callers' statements. If the upstream
+    accepts no further connection, they do wait. Raises UpstreamError.
     """
     if urgent and not item.pool.has_capacity():
         try:
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -1,4 +1,4 @@
-"""One database group as this daemon works with it."""
+"""A database group as this daemon works with it."""
 
 from dataclasses import dataclass
 
@@ -21,12 +21,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class GroupContext:
-    """What all groups of a daemon share.
+    """Dependencies and settings that all groups of a daemon share.
 
-    `domain` is this daemon's failure domain; `daemons` tells how many daemons share
-    the upstreams' connections; `drain_seconds` is how long an upstream that leaves
-    may still be sent work, which new settings may change; `started_at` is when this
-    daemon started. `catalog` holds the configuration in force.
+    `domain` is this daemon's failure domain. `daemons` knows how many daemons share the
+    upstreams' connections. `drain_seconds` is how long a leaving upstream may still be
+    sent work; new settings may change it. `started_at` is when this daemon started.
+    `catalog` holds the configuration in force.
     """
 
     clock: Clock
@@ -42,7 +42,7 @@
 
 
 class Group:
-    """Upstreams, floors and the leader of one group."""
+    """Upstreams, read floors and leader of one group."""
 
     def __init__(self, *, spec, context):
         self.spec = spec
@@ -75,7 +75,7 @@
         return found.member if found else None
 
     def update_members(self, members):
-        """Take in the group's members as the roster has them now."""
+        """Replace the group's members by those that the roster now has."""
         listed = {member.id: member for member in members}
         for upstream in set(self.upstreams) - set(listed):
             self.remove_member(self.upstreams.pop(upstream))
@@ -84,17 +84,20 @@
             self.update_member(member)
 
     def remove_member(self, item):
-        """Close what is open to a member off the list; note when it went unasked."""
+        """Close connections to a member that is no longer listed.
+
+        Notes the time if the member had not said that it leaves.
+        """
         item.pool.close()
         if not item.member.leaving:
             self.departed_at[item.id] = self.context.clock()
 
     def departed_since(self, moment):
-        """Members that went off the list unasked at or after a moment."""
+        """Members removed without notice at or after a moment."""
         return [name for name, at in self.departed_at.items() if at >= moment]
 
     def update_member(self, member):
-        """Add or refresh one upstream; one that moved gets a new pool."""
+        """Add or update one upstream; a changed address gets a new pool."""
         known = self.upstreams.get(member.id)
         if known is not None and known.member.address == member.address:
             known.member = known.pool.member = member
@@ -120,13 +123,14 @@
         )
 
     def work_limit(self, member):
-        """Statements that this daemon may have at an upstream at once."""
+        """Statements that this daemon may run at an upstream at once."""
         return work_limit(member.slots, self.context.daemons.owner_count(self.spec))
 
     def can_open_transaction(self, *, writes, soon=False):
         """Tell whether a transaction can be opened without waiting for a connection.
 
-        With `soon` one will do that a single statement uses.
+        With `soon`, a connection that a single statement uses counts too: it is
+        released when the statement ends.
         """
         leader = self.watch.leader
         items = [
@@ -140,16 +144,16 @@
         )
 
     def adjust_connections(self):
-        """Close connections that are not needed; the limit follows the daemons."""
+        """Close surplus connections and update limits to the number of daemons."""
         for item in self.upstreams.values():
             item.pool.set_limit(self.connection_limit())
             item.pool.close_surplus()
             item.admission.queue.limit = self.work_limit(item.member)
 
     def connection_limit(self):
-        """This daemon's share of an upstream's connections, as one of the owners.
+        """This daemon's share, as one of the owners, of an upstream's connections.
 
-        After its start a daemon is content with less.
+        For some seconds after its start, a daemon uses fewer than its share.
         """
         share = self.context.daemons.connection_share(self.spec)
         since_start = self.context.clock() - self.context.started_at
@@ -158,17 +162,17 @@
         return share_after_start(share, since_start)
 
     def role_of(self, upstream):
-        """Whether the leader or a replica answered; None for nobody."""
+        """The role of an upstream that answered; None if there is none."""
         if not upstream:
             return None
         return ServedBy.LEADER if upstream == self.watch.leader else ServedBy.REPLICA
 
     def presumed_leader(self):
-        """The member that leads or led last; empty if nobody can say.
+        """The member that leads or led last; empty if unknown.
 
-        A daemon that has seen no proof goes by the list, if just one member there says
-        that it leads. What goes wrong without it: all daemons lost power together with
-        the primary, and wait for it until it is off the list.
+        A daemon that has not yet verified a leader relies on the list if exactly one
+        member there claims to lead. Otherwise, when all daemons lose power together
+        with the primary, they would wait for it until its entry expires.
         """
         known = self.watch.leader or self.watch.last_leader
         if known:
@@ -177,7 +181,7 @@
         return leading[0] if len(leading) == 1 else ""
 
     def candidates(self, workspace=""):
-        """All upstreams as the router sees them for a workspace's read."""
+        """Upstreams that accept work, as routing candidates for a workspace's read."""
         now = self.context.clock()
         return [
             self.candidate(item, now, workspace)
@@ -186,10 +190,10 @@
         ]
 
     def accepts_work(self, member):
-        """Tell whether a member may be sent work: it stays, or left a moment ago.
+        """Tell whether a member may be sent work: not if it has been leaving too long.
 
-        What goes wrong without it: a primary that leaves and cannot be replaced, as
-        the store is away, is sent work until it is gone with it.
+        A primary that leaves and cannot be replaced because the store is down would
+        otherwise be sent work until it stops, and the work would be lost with it.
         """
         if member.leaving_since is None:
             return True
@@ -197,13 +201,13 @@
         return left_for < self.context.drain_seconds - self.context.tuning.drain_margin
 
     async def wait_writable(self, timeout):
-        """The upstream that leads and takes work; None if there is none in time."""
+        """The upstream that leads and accepts work; None if there is none in time."""
         leader = await self.watch.wait_leader(timeout)
         item = self.upstreams.get(leader)
         return item if item is not None and self.accepts_work(item.member) else None
 
     def candidate(self, item, now, workspace):
-        """One upstream as the router sees it."""
+        """One upstream as a routing candidate."""
         member = item.member
         return Candidate(
             id=item.id,
@@ -220,15 +224,15 @@
         )
 
     def takeover_in_progress(self):
-        """Tell whether a takeover began a moment ago.
+        """Tell whether a takeover started recently.
 
-        A new leader does not end it: an order that was given up may still be carried
-        out, and an earlier one may have taken effect in between.
+        A new leader does not end it: a promotion order that was given up may still be
+        carried out, and an earlier order may have taken effect in between.
         """
         return self.context.lease_view.under_way(self.name)
 
     def track_tasks(self, tasks):
-        """Hold on to tasks that finish on their own."""
+        """Keep references to tasks that finish on their own."""
         for task in tasks:
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -1,4 +1,4 @@
-"""The groups that this daemon holds connections to, and its way to all others."""
+"""The groups that this daemon holds connections to, and access to all others."""
 
 from gypsum_policy.membership import has_settled
 from gypsum_sessions.callers.access import LocalAccess
@@ -8,13 +8,13 @@
 from gypsum_sessions.upstreams.group import Group
 
 PART = "hosting"
-# A group that others own is left when nobody has asked for this long, seconds: longer
+# A group owned by others is released after this many seconds without a request: longer
 # than an owner takes to come back after a restart.
 RELEASE_AFTER = 10.0
 
 
 class HostedGroups:
-    """Takes groups up that this daemon owns or is asked for, and leaves the others."""
+    """Starts groups that this daemon owns or is asked for, and releases the others."""
 
     def __init__(self, *, proxy):
         self.proxy = proxy
@@ -23,8 +23,8 @@
         self.reaches = {}
         self.tasks = {}
         self.requested_at = {}
-        # Daemons that were known at the last look, since when there are so many, and
-        # since when there is a list.
+        # Number of daemons at the last check, when it last grew, and when the list of
+        # daemons was first available.
         self.daemon_count = 0
         self.last_growth_at = self.first_listed_at = float("inf")
         self.settled = False
@@ -35,7 +35,7 @@
         return current.groups.get(name) if current else None
 
     def reconcile(self):
-        """Work with the groups that this daemon owns, and leave those it does not."""
+        """Start the groups that this daemon owns and release those it does not."""
         if not self.proxy.daemons.listed:
             return
         self.check_daemon_list()
@@ -48,7 +48,7 @@
                 self.release(name)
 
     def check_daemon_list(self):
-        """Notice when the list of daemons is whole for the first time."""
+        """Detect when the list of daemons is complete for the first time."""
         if self.settled:
             return
         now, known = self.proxy.clock(), len(self.proxy.daemons.known)
@@ -63,7 +63,7 @@
         )
 
     def start(self, spec):
-        """Start to work with a group, unless we do already; returns it."""
+        """Start a group, unless it is running already; returns it."""
         group = self.groups.get(spec.name)
         if group is not None:
             return group
@@ -90,7 +90,7 @@
         return group
 
     def can_release(self, name):
-        """Tell whether nobody has needed our connections to a group for a while."""
+        """Tell whether a group's connections have not been needed lately."""
         if self.takeovers[name].attempting:
             return False
         items = self.groups[name].upstreams.values()
@@ -99,7 +99,7 @@
         return self.proxy.clock() - self.requested_at.get(name, 0.0) > RELEASE_AFTER
 
     def release(self, name):
-        """Close what we hold of a group that others own."""
+        """Close the connections to a group that other daemons own."""
         for task in self.tasks.pop(name):
             task.cancel()
         self.groups.pop(name).close()
@@ -108,10 +108,10 @@
         self.proxy.log(PART, "group left to its owners", group=name)
 
     def start_for_peer(self, name):
-        """A group for which another daemon asks us, or None if it is not known.
+        """The group that another daemon asks for, started if needed; None if unknown.
 
-        Also one that we do not own: the other daemon reaches none of its owners, or
-        knows of daemons that we have not heard of.
+        Includes groups that this daemon does not own: the other daemon may reach none
+        of the owners, or know of daemons that this one has not heard of.
         """
         spec = self.spec(name)
         if spec is None:
@@ -120,7 +120,7 @@
         return self.start(spec)
 
     def access(self, name):
-        """The way to a group, or None if it is not known yet."""
+        """Local or remote access to a group; None if the group is not known yet."""
         spec = self.spec(name)
         if spec is None or not self.proxy.daemons.listed:
             return None
--- a/packages/sessions/gypsum_sessions/upstreams/pool.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pool.py
@@ -1,4 +1,4 @@
-"""Connections of this daemon to one upstream: few, kept, and shared in turn."""
+"""Pool of this daemon's connections to one upstream."""
 
 import asyncio
 from collections import Counter, deque
@@ -16,18 +16,19 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Waiter:
-    """One who waits for a connection of a workspace, of any if that is None."""
+    """A caller that waits for a connection of a workspace; of any, if that is None."""
 
     future: asyncio.Future
     workspace: str | None
 
 
 class ConnPool:
-    """At most `limit` connections; who comes first is served first.
+    """At most `limit` connections, given out in the order of requests.
 
-    A new connection costs an upstream tens of milliseconds of a slot, so one is
-    opened only when no other of its workspace is idle. At the limit an idle one of
-    another workspace gives way to it. Questions of our own take any connection.
+    Opening a connection costs the upstream tens of milliseconds of a slot, so a new one
+    is opened only if the workspace has none idle. At the limit, an idle connection of
+    another workspace is closed to make room. The daemon's own queries take any
+    connection.
     """
 
     def __init__(self, *, member, dialer, limit, clock, tuning):
@@ -39,10 +40,10 @@
         self.idle = []
         self.open_count = 0
         self.checked_out = set()
-        # The usual time of a dial, seconds.
+        # Running mean of the time to open a connection, seconds.
         self.mean_dial_time = tuning.first_dial
-        # Connections in use by workspace, and those that gave way to another's.
         self.in_use_by_workspace = Counter()
+        # Idle connections closed to make room for another workspace's.
         self.displaced = 0
         self.dials = 0
         self.waiting = deque()
@@ -54,10 +55,10 @@
     async def acquire(
         self, *, values, timeout, urgent=False, prefer_oldest=False, workspace=None
     ):
-        """Acquire a connection, preferring one whose values match; raises UpstreamError.
+        """Acquire a connection, the one whose values match best; raises UpstreamError.
 
-        An `urgent` caller goes before all waiting ones and may open one connection
-        beyond the limit: for short queries that others wait for. `prefer_oldest` picks
+        An `urgent` caller goes before all that wait and may open one connection beyond
+        the limit: for short queries that other work depends on. `prefer_oldest` picks
         the idle connection that was opened first. The connection belongs to
         `workspace`; with None, any connection will do.
         """
@@ -80,15 +81,16 @@
             next_in_line = True
 
     def has_servable_waiter(self):
-        """Tell whether somebody waits who would be served now.
+        """Tell whether a waiting caller could be served now.
 
-        What goes wrong without it: callers of a busy workspace take each connection as
-        it comes back, and those of the others wait until their deadline.
+        New requests queue behind it. Otherwise callers of a busy workspace would take
+        each connection as it is released, and those of other workspaces would wait
+        until their deadline.
         """
         return any(self.can_serve(waiter) for waiter in self.waiting)
 
     def can_serve(self, waiter):
-        """Tell whether a connection that is free would be of use to who waits."""
+        """Tell whether a waiter could use an idle connection or open a new one."""
         if waiter.future.done():
             return False
         name = waiter.workspace
@@ -100,7 +102,7 @@
         return may_hold(self.in_use_by_workspace, workspace=name, limit=self.limit)
 
     def can_dial(self, urgent, workspace):
-        """Tell whether a connection may be opened now; makes room for it if need be."""
+        """Tell whether a connection may be opened now; evicts an idle one if needed."""
         if self.clock() < self.next_dial_at:
             return False
         if not may_hold(
@@ -112,9 +114,10 @@
         return workspace is not None and self.evict_idle()
 
     def evict_idle(self):
-        """Close idle connections that will be missed least; tell if one may be opened.
+        """Close the idle connections least likely to be needed until below the limit.
 
-        Two of them where a proof has opened one beyond the limit.
+        Closes two if an urgent caller has opened one beyond the limit. Tells whether a
+        connection may be opened.
         """
         while self.idle and self.open_count >= self.limit:
             index = to_close([(item.workspace, item.idle_since) for item in self.idle])
@@ -128,16 +131,16 @@
         return self.open_count < self.limit + (1 if urgent else 0)
 
     def set_limit(self, limit):
-        """Change the limit; who waits may open what it allows now."""
+        """Change the limit and wake a waiter if it was raised."""
         raised = limit > self.limit
         self.limit = limit
         if raised:
             self.wake_next()
 
     async def open_new(self):
-        """A connection that was just opened, also where others are idle.
+        """Open a connection even if others are idle.
 
-        Raises UpstreamError. If the pool is full already the oldest idle one is closed.
+        Raises UpstreamError. If the pool is full, the oldest idle connection is closed.
         """
         if self.idle and not self.below_limit(True):
             self.idle.pop(0).conn.close()
@@ -145,9 +148,9 @@
         return await self.open_connection()
 
     def dial_cost(self, workspace):
-        """Seconds that a new connection takes, 0 if a workspace has one idle.
+        """Expected seconds to open a connection, 0 if the workspace has one idle.
 
-        Where callers show no key any connection will do, and few are opened.
+        Also 0 without a workspace: any connection will do then, so that few are opened.
         """
         if not workspace or any(item.workspace == workspace for item in self.idle):
             return 0.0
@@ -155,20 +158,23 @@
 
     @property
     def in_use(self):
-        """Connections in use."""
+        """Number of connections in use."""
         return len(self.checked_out)
 
     def may_free_soon(self):
-        """Tell whether a connection is used by no transaction, which might pause."""
+        """Tell whether a connection is in use outside of a transaction.
+
+        A transaction may pause between statements and holds its connection meanwhile.
+        """
         return any(not item.in_transaction for item in self.checked_out)
 
     def has_capacity(self):
-        """Tell whether a connection can be had without waiting for another's end."""
+        """Tell whether a connection is idle or may be opened."""
         self.prune_closed()
         return bool(self.idle) or self.open_count < self.limit
 
     def take_idle(self, values, prefer_oldest=False, workspace=None):
-        """An idle connection, or None; dead ones are dropped on the way."""
+        """Take an idle connection, or None; connections found closed are removed."""
         self.prune_closed()
         indexes = [
             index
@@ -186,22 +192,22 @@
         return self.check_out(self.idle.pop(best))
 
     def check_out(self, pooled):
-        """Count a connection as in use."""
+        """Mark a connection as in use."""
         self.checked_out.add(pooled)
         self.in_use_by_workspace[pooled.workspace] += 1
         return pooled
 
     def prune_closed(self):
-        """Forget idle connections that were closed by the other end."""
+        """Remove idle connections that the upstream has closed."""
         alive = [item for item in self.idle if item.alive]
         self.open_count -= len(self.idle) - len(alive)
         self.idle = alive
 
     async def open_unless_full(self, workspace):
-        """Open a connection; None if the upstream takes no more and others are open.
+        """Open a connection; None if the upstream is at its limit and others are open.
 
-        What goes wrong when its refusal is passed on: a statement fails, and the
-        upstream counts as failing, though a connection of ours is free in a moment.
+        If that refusal were raised, the statement would fail and the upstream would
+        count as failing, although a connection of this pool is free a moment later.
         """
         try:
             return await self.open_connection(workspace)
@@ -211,7 +217,7 @@
             raise
 
     def backoff_error(self):
-        """The error of a statement that comes while dialling is put off."""
+        """The error for a statement that arrives during the dial backoff."""
         if self.refused_at_limit:
             return UpstreamRefused(
                 "no new dial yet",
@@ -224,7 +230,7 @@
         )
 
     async def open_connection(self, workspace=""):
-        """Open a connection."""
+        """Open a connection; raises UpstreamError."""
         self.open_count += 1
         self.dials += 1
         started_at = self.clock()
@@ -252,9 +258,10 @@
         )
 
     def start_backoff(self):
-        """After a failed dial the next one waits, longer each time.
+        """Delay the next dial after a failed one, longer each time.
 
-        Not so at an upstream's limit: it has room again at any moment.
+        The delay is constant if the upstream is at its connection limit, since it may
+        have room again at any moment.
         """
         if self.refused_at_limit:
             self.dial_backoff = self.tuning.redial_full
@@ -278,7 +285,7 @@
                 await future
         except BaseException as exc:
             if future.done() and not future.cancelled():
-                # The turn came just as we gave up: it is the next one's.
+                # Woken while it timed out or was cancelled: wake the next waiter.
                 self.wake_next()
             if isinstance(exc, TimeoutError):
                 raise NoFreeConnection(
@@ -290,7 +297,7 @@
                 self.waiting.remove(waiter)
 
     def release(self, pooled):
-        """Give a connection back; a closed one makes room for a new one."""
+        """Return a connection to the pool; one that can't be reused is closed."""
         self.checked_out.discard(pooled)
         self.in_use_by_workspace[pooled.workspace] -= 1
         if pooled.alive and not self.closed and not pooled.in_transaction:
@@ -302,7 +309,7 @@
         self.wake_next()
 
     def wake_next(self):
-        """Let the first who still waits, and would be served, try again."""
+        """Wake the first waiter that could be served."""
         for waiter in self.waiting:
             if self.can_serve(waiter):
                 self.waiting.remove(waiter)
@@ -310,11 +317,11 @@
                 return
 
     def close_surplus(self):
-        """Close what was not needed for a while, but for one connection.
+        """Close connections that have been idle too long, but keep one.
 
-        What goes wrong without it: after a rush every daemon holds its full share
-        for ever, and together with the connections for proofs and commands that is
-        more than an upstream takes.
+        Otherwise every daemon would keep its full share for ever after a load peak.
+        Together with the connections for proofs of leadership and for commands, that
+        exceeds what an upstream accepts.
         """
         now = self.clock()
         old = [
@@ -327,12 +334,12 @@
         self.prune_closed()
 
     def idle_timeout(self, pooled):
-        """Seconds for which a connection that is not needed is kept."""
+        """Seconds after which an idle connection is closed."""
         tuning = self.tuning
         return tuning.idle_limit_named if pooled.workspace else tuning.idle_limit
 
     def close(self):
-        """Close what is idle; what is in use is closed when it comes back."""
+        """Close idle connections; those in use are closed when they are released."""
         self.closed = True
         for pooled in self.idle:
             pooled.conn.close()
--- a/packages/sessions/gypsum_sessions/upstreams/pooled.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pooled.py
@@ -11,9 +11,9 @@
 class PooledConn:
     """A connection with the values and prepared statements set on it.
 
-    It was opened in the name of `workspace`, empty for our own.
-    `dirty` says that its values are not known for sure; it is reset before use.
-    `prepared` holds (shape, writes) pairs; see `prepared_name`.
+    It was opened for `workspace`, empty for the daemon's own use. `dirty` says that its
+    values are not known for certain; it is reset before use. `prepared` holds (shape,
+    writes) pairs; see `prepared_name`.
     """
 
     upstream: str
@@ -28,14 +28,15 @@
 
     @property
     def alive(self):
-        """Tell whether the connection may still be used."""
+        """Tell whether the connection can still be used."""
         return self.conn.alive
 
 
 def prepared_name(shape, writes):
-    """Name of a prepared statement at upstreams: the same for all sessions.
+    """Name of a prepared statement at upstreams, the same for all sessions.
 
-    Callers' names collide; named by what they run, they can be shared.
+    Names that callers choose collide on a shared connection. Named after their content,
+    prepared statements can be shared.
     """
     return f"{'w' if writes else 'r'}_{shape}"
 
@@ -43,9 +44,9 @@
 async def sync_session_state(pooled, values, prepared, *, timeout, prepared_limit):
     """Set a connection's values and prepared statements to a session's.
 
-    `prepared` lists the (shape, writes) that the next statement needs. Each step is
-    awaited: were a value refused behind our back, the statement would run with
-    another session's.
+    `prepared` lists the (shape, writes) pairs that the next statement needs. Each step
+    is awaited: if a value were refused unnoticed, the statement would run with another
+    session's value. Raises UpstreamError.
     """
     if needs_reset(pooled, values, prepared, prepared_limit):
         await run_or_close(pooled, RESET, timeout)
@@ -67,7 +68,7 @@
 
 
 def needs_reset(pooled, values, prepared, prepared_limit):
-    """Tell whether a connection carries what the session must not see."""
+    """Tell whether a connection carries state that the session must not see."""
     if pooled.in_transaction:
         return False
     has_other_values = not pooled.values.keys() <= values.keys()
@@ -76,7 +77,7 @@
 
 
 async def run_or_close(pooled, statement, timeout):
-    """Run one of the proxy's own statements; any refusal loses the connection."""
+    """Run one of the proxy's own statements; closes the connection if it is refused."""
     reply = await pooled.conn.ask(statement, timeout=timeout)
     if not reply.ok:
         pooled.conn.close()
@@ -89,9 +90,9 @@
 
 
 async def roll_back(pooled, timeout):
-    """End whatever is open; a connection that does not confirm is closed.
+    """Roll back an open transaction; a connection that does not confirm is closed.
 
-    Closing rolls back as well, so either way nothing of the transaction is kept.
+    Closing rolls back as well, so nothing of the transaction is kept either way.
     """
     try:
         reply = await pooled.conn.ask(ROLLBACK, timeout=timeout)
--- a/packages/sessions/gypsum_sessions/upstreams/recorder.py
+++ b/packages/sessions/gypsum_sessions/upstreams/recorder.py
@@ -1,8 +1,9 @@
-"""Keeping on record which members a group has.
+"""Persistent record of each group's members.
 
-The list of upstreams forgets entries whose leases run out while the store is away. A
-daemon that starts just then finds a part of a group, or nothing: it must not take the
-part for the whole when it replaces a primary, and it can serve from what was on record.
+The list of upstreams loses entries whose leases expire while the store is down. A
+daemon that starts at that time sees only some of a group's members, or none. It must
+not take these for the whole group when it replaces a primary, and it can serve from the
+members on record.
 """
 
 from dataclasses import dataclass
@@ -10,30 +11,31 @@
 from gypsum_sessions.borders import LeaseError
 
 PART = "recorder"
-# Seconds between two looks at a group's members. Looks are counted instead of time: a
-# suspended daemon sees no list, and the time that it slept proves nothing.
+# Seconds between two checks of a group's members. Checks are counted instead of time: a
+# suspended daemon sees no list, so the time it was suspended does not count.
 CHECK_INTERVAL = 0.25
-# A change of members is recorded after this many looks that saw it (0.5 s) by the first
-# daemon of the group's order, by each next one a step later: one does it, not all.
+# A change of members is recorded after this many checks that saw it (0.5 s) by the
+# first daemon in the group's order, and by each next one a step later, so that only one
+# of them writes.
 RECORD_AFTER_CHECKS = 2
 RECORD_CHECKS_PER_RANK = 4
-# The first record of a group is written this late (3 s): a list that has gaps since the
-# store was away is whole again two seconds after its return.
+# The first record of a group is written after this many checks (3 s): a list with gaps
+# after an outage of the store is complete again two seconds after the store's return.
 FIRST_RECORD_AFTER_CHECKS = 12
-# Looks until a failed attempt is repeated.
+# Checks until a failed write is retried.
 RETRY_AFTER_CHECKS = 8
 
 
 @dataclass(slots=True, kw_only=True)
 class PendingChange:
-    """A change that is not on record yet: what was seen, and in how many looks."""
+    """An unrecorded change: the members seen and the number of checks that saw them."""
 
     members: frozenset
     checks: int = 0
 
 
 class MemberRecorder:
-    """Brings the record of each group's members level with the list."""
+    """Keeps the record of each group's members up to date with the list."""
 
     def __init__(self, *, records, log):
         self.records = records
@@ -42,20 +44,23 @@
         self.pending = {}
 
     def set_recorded(self, group, members):
-        """Take in a record as the store has it."""
+        """Take over a record as the store has it."""
         self.recorded[group] = fingerprint(members)
 
     def invalidate_unlisted(self, groups):
-        """The store has the records of these groups alone: the others are due again."""
+        """Mark the records of other groups as lost from the store, to be rewritten."""
         for group in self.recorded.keys() - set(groups):
             self.recorded[group] = frozenset()
 
     def has_record(self, group):
-        """Tell whether a group's members are on record."""
+        """Tell whether a record of a group's members is known."""
         return group in self.recorded
 
     async def check(self, group, members, rank):
-        """Record a group's members once they have differed from the record a while."""
+        """Record a group's members if they have differed from the record long enough.
+
+        `rank` is this daemon's position in the group's order.
+        """
         current = fingerprint(members)
         if not current or self.recorded.get(group) == current:
             self.pending.pop(group, None)
@@ -73,7 +78,7 @@
         await self.save(group, members, current)
 
     async def save(self, group, members, current):
-        """Write the record; a failure is logged and tried again."""
+        """Write the record; a failure is logged and retried."""
         try:
             await self.records.save(group, members)
         except LeaseError as exc:
@@ -83,5 +88,5 @@
 
 
 def fingerprint(members):
-    """What of the members is worth a new record."""
+    """The attributes of members whose change requires a new record."""
     return frozenset((member.id, member.address) for member in members)
--- a/packages/sessions/gypsum_sessions/upstreams/roster.py
+++ b/packages/sessions/gypsum_sessions/upstreams/roster.py
@@ -1,4 +1,4 @@
-"""Upstreams of each group, as the lagging list tells, with a grace for gaps."""
+"""Members of each group from a list that may lag, with a grace period for gaps."""
 
 from collections import Counter
 from dataclasses import dataclass, replace
@@ -8,18 +8,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Member:
-    """One upstream. `leads` is what it says of itself, late at times.
-
-    `joined` is the store's revision at which its entry came to be: it orders members
-    and leases. An entry that was lost and is back is a new one: a takeover that read
-    the list in between has not seen it. `changed` is the revision of the entry's last
-    change. `missing_since` and `leaving_since` are on the daemon's clock, None if it is
-    neither.
-
-    `id` names one incarnation: an upstream that starts again holds nothing of before,
-    so whatever is kept by id (connections, pauses, what it has confirmed) must not
-    carry over. `name` is what the upstream and the platform call it, the same for all
-    its incarnations, `born` the Unix millisecond of its start, 0 if it does not say.
+    """One upstream. `leads` is what it reports about itself, sometimes late.
+
+    `joined` is the store's revision at which its entry was created; it orders members
+    relative to leases. An entry that was lost and is back counts as new: a takeover
+    that read the list in between has not seen it. `changed` is the revision of the
+    entry's last change. `missing_since` and `leaving_since` are on the daemon's clock,
+    None if the member is not missing or not leaving.
+
+    `id` names one incarnation: an upstream that restarts has none of its earlier data,
+    so state kept by id (connections, pauses, confirmed positions) must not carry over.
+    `name` is the upstream's name for itself and for the platform, the same for all
+    incarnations. `born` is the Unix time of its start in milliseconds, 0 if it does not
+    report it.
     """
 
     id: str
@@ -38,7 +39,7 @@
 
     @property
     def stable_name(self):
-        """What the upstream and the platform call it."""
+        """Its name for itself and for the platform, the same for all incarnations."""
         return self.name or self.id
 
     @property
@@ -48,17 +49,17 @@
 
 
 def with_restart_revision(member):
-    """A member that started again under an entry that may be older than its start.
+    """A restarted member whose entry may be older than its start, with `joined` raised.
 
-    What goes wrong with the entry's own age: a takeover that was under way has paused
-    what ran before; the new process, which nothing pauses, would count as known to it
-    and confirm commits that the takeover then cuts off.
+    With the entry's own revision, the new process would count as known to a takeover
+    under way, which has paused only the earlier process. It could then confirm commits
+    that the takeover discards.
     """
     return replace(member, joined=max(member.joined, member.changed))
 
 
 def store_was_restored(known, member):
-    """Tell whether the store has returned from a copy since an entry was known."""
+    """Tell whether the store was restored from a backup since an entry was known."""
     return not same_era(known.changed, member.changed)
 
 
@@ -74,14 +75,14 @@
         self.missed_checks = Counter()
 
     def store(self, member):
-        """Know a member, as the newest of its name."""
+        """Store a member as the newest incarnation of its name."""
         self.members[member.id] = member
         self.newest[member.stable_name] = member.id
 
     def update(self, member):
-        """Take in an entry of the list; returns it as it is kept.
+        """Apply an entry of the list; returns the member as it is stored.
 
-        None for an entry of an incarnation that another has replaced already.
+        None if a newer incarnation has already replaced the entry's.
         """
         other = self.other_incarnation(member)
         if other is not None:
@@ -91,10 +92,10 @@
             member = with_restart_revision(member)
         known = self.members.get(member.id)
         if known is not None and known.changed and known.joined > member.joined:
-            # It restarted under its entry, which is older than this incarnation.
+            # It restarted under an entry that is older than this incarnation.
             member = replace(member, joined=known.joined)
         if known is not None and known.leaving and store_was_restored(known, member):
-            # The copy may be older than its report that it drains.
+            # The backup may be older than its report that it drains.
             member = replace(member, leaving=True)
         since = known.leaving_since if known else None
         if member.leaving and since is None:
@@ -107,7 +108,7 @@
         return kept
 
     def add_recorded(self, members):
-        """Take in members on record that are not listed: missing, for their grace."""
+        """Add members on record that are not listed, as missing."""
         for member in members:
             if member.id in self.members:
                 continue
@@ -118,22 +119,22 @@
                 self.store(with_restart_revision(other))
 
     def other_incarnation(self, member):
-        """The known member of the same name that started at another time, or None.
+        """The known member of the same name with another start, or None.
 
-        What goes wrong when all are looked through for each: a list of hundreds of
-        upstreams takes a daemon tenths of a second, at its start of all times.
+        It is looked up by name: comparing each entry with all members takes tenths of a
+        second for hundreds of upstreams, at the start of a daemon.
         """
         known = self.members.get(self.newest.get(member.stable_name, ""))
         return known if known is not None and known.id != member.id else None
 
     def mark_missing(self, name):
-        """An entry vanished: the upstream left, or the store lost its lease."""
+        """Mark a member whose entry vanished: it left, or the store lost its lease."""
         known = self.members.get(self.newest.get(name, ""))
         if known is not None and known.missing_since is None:
             self.store(replace(known, missing_since=self.clock()))
 
     def replace_all(self, members):
-        """Take in a whole list: what it lacks is missing."""
+        """Apply a complete list; members not in it are missing."""
         listed = {member.stable_name for member in members}
         for member in members:
             self.update(member)
@@ -141,10 +142,11 @@
             self.mark_missing(name)
 
     def expire(self):
-        """One look: drop members that were missing in so many; returns them.
+        """Drop members that were missing in enough checks; returns them.
 
-        Looks are counted, not time. What goes wrong with time: a daemon is suspended
-        while the list has gaps, and forgets the members before it sees them listed.
+        Called once per check. Checks are counted instead of time: a daemon that is
+        suspended while the list has gaps would otherwise drop members before it sees
+        them listed again.
         """
         missing = [
             item for item in self.members.values() if item.missing_since is not None
@@ -164,5 +166,5 @@
         return expired
 
     def of_group(self, group):
-        """Members of a group, missing ones within their grace included."""
+        """Members of a group, including missing ones within their grace period."""
         return [item for item in self.members.values() if item.group == group]
--- a/packages/sessions/gypsum_sessions/upstreams/upstream.py
+++ b/packages/sessions/gypsum_sessions/upstreams/upstream.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of each upstream: its speed, its answers, its pool."""
+"""State that this daemon keeps for each upstream: speed, last answers, connections."""
 
 from dataclasses import dataclass
 
@@ -45,21 +45,24 @@
         return self.member.id
 
     def record_answer(self, seconds, position, now, tuning):
-        """Note an answer and the time it took."""
+        """Record an answer to a statement and the time it took."""
         self.mean_time += tuning.mean_weight * (seconds - self.mean_time)
         self.position = position or self.position
         self.behind_since = None
         self.record_response(now)
 
     def record_behind(self, now, tuning):
-        """Note that it lacked a position that a read asked for."""
+        """Record that it lacked a position that a read required."""
         self.lagging_until = now + tuning.lagging_rest
         self.last_behind_at = now
         if self.behind_since is None:
             self.behind_since = now
 
     def behind_for(self, now, tuning):
-        """Seconds for which it has lacked what reads asked for; 0 if not lately."""
+        """Seconds for which it has lacked positions that reads required.
+
+        0 if it has not lacked one lately.
+        """
         if (
             self.behind_since is None
             or now - self.last_behind_at > tuning.behind_known_for
@@ -68,36 +71,39 @@
         return self.last_behind_at - self.behind_since
 
     def record_apply_lag(self, seconds, tuning):
-        """Note how long a commit took to be applied here."""
+        """Update the usual time from a commit until it is applied here."""
         self.apply_lag += tuning.lag_weight * (seconds - self.apply_lag)
 
     @property
     def reachable(self):
-        """Tell whether a short question is likely to be answered.
+        """Tell whether a short query is likely to be answered.
 
-        A slow statement alone says nothing against it. At the upstream's limit it takes
-        a connection that we have already.
+        A slow statement alone does not count against it. At the upstream's connection
+        limit, it takes a connection that is open already.
         """
         return not self.unreachable and (
             self.pool.open_count or not self.pool.refused_at_limit
         )
 
     def record_probe_answer(self, now):
-        """It answered a question of the watch, over a connection that may be fresh."""
+        """Record an answer to a probe of the leader watch.
+
+        The probe may have used a new connection, so it does not end `unreachable`.
+        """
         self.last_response_at = now
 
     def record_response(self, now):
-        """It answered something."""
+        """Record an answer over a pooled connection; ends the pause after failures."""
         self.last_response_at = now
         self.unreachable = False
         self.avoid_for = 0.0
         self.avoid_until = 0.0
 
     def record_failure(self, exc, now, tuning):
-        """Note a lost connection or a silence; the pause doubles.
+        """Record a lost connection or a missing answer; the pause doubles each time.
 
-        No failures of the upstream: that all our own connections to it are in use, or
-        that it takes no more of them.
+        Not a failure of the upstream: that all of this daemon's connections to it are
+        in use, or that it accepts no more of them.
         """
         if is_connection_shortage(exc) or now < self.avoid_until:
             return
@@ -108,6 +114,6 @@
 
 
 def is_connection_shortage(exc):
-    """Tell whether a failure is a lack of connections: of ours, or that it takes."""
+    """Tell whether a failure means only that no connection is free or accepted."""
     full = isinstance(exc, UpstreamRefused) and exc.at_limit
     return full or isinstance(exc, NoFreeConnection)
