--- a/packages/sessions/gypsum_sessions/execution/__init__.py
+++ b/packages/sessions/gypsum_sessions/execution/__init__.py
@@ -1,1 +1,1 @@
-"""Running statements at upstreams: reads, writes, transactions, confirmed commits."""
+"""Execution of statements at upstreams: reads, writes, transactions, commit checks."""
--- a/packages/sessions/gypsum_sessions/execution/admission.py
+++ b/packages/sessions/gypsum_sessions/execution/admission.py
@@ -1,4 +1,4 @@
-"""Statements wait here for their turn at an upstream; `gypsum_policy` decides whose."""
+"""Queue of statements before an upstream; `gypsum_policy` decides the order."""
 
 import asyncio
 
@@ -8,8 +8,8 @@
 class QueuedStatement:
     """A statement's place in the queue; `async with` waits for it and holds it.
 
-    It counts from the moment at which it is made. What goes wrong otherwise: callers
-    that come in the same instant all see the same upstream idle, and all go there.
+    It counts from its creation. Otherwise callers that arrive at the same moment would
+    all see the same upstream idle and all go there.
     """
 
     def __init__(self, *, admission, claim):
@@ -20,18 +20,18 @@
         self.released = False
 
     async def __aenter__(self):
-        """Wait until it is our turn; raises Hopeless if it would come too late."""
+        """Wait until admitted; raises Hopeless if it would come too late."""
         if self.ticket is not None:
             await self.admission.wait(self.ticket, self.claim.deadline)
             self.ticket = None
         self.started_at = self.admission.clock()
 
     async def __aexit__(self, kind, exc, trace):
-        """The statement has ended."""
+        """Release the place when the statement ends."""
         self.release(answered=exc is None)
 
     def release(self, answered=False):
-        """Give the place up, once."""
+        """Release the place; later calls do nothing."""
         if self.released:
             return
         self.released = True
@@ -43,17 +43,17 @@
 
 
 class UnqueuedStatement:
-    """A statement whose transaction is open: it counts and does not wait."""
+    """A statement in an open transaction: it counts but does not wait."""
 
     def __init__(self, *, admission):
         self.admission = admission
 
     async def __aenter__(self):
-        """It starts."""
+        """Count the statement as running."""
         self.admission.queue.join()
 
     async def __aexit__(self, kind, exc, trace):
-        """It has ended."""
+        """Stop counting the statement."""
         self.admission.finished(None)
 
 
@@ -70,7 +70,7 @@
         return QueuedStatement(admission=self, claim=claim)
 
     def unqueued(self):
-        """A place for a statement that may not wait."""
+        """A place for a statement that must not wait."""
         return UnqueuedStatement(admission=self)
 
     def take_ticket(self, claim):
@@ -78,12 +78,12 @@
         return self.queue.enter(claim, self.clock())
 
     def finished(self, seconds):
-        """A statement has ended, after so many seconds if it was answered."""
+        """Record a statement's end; `seconds` is its duration, None if unanswered."""
         self.queue.done(self.clock(), seconds)
         self.admit_waiting()
 
     async def wait(self, ticket, deadline):
-        """Wait until a ticket may start; raises Hopeless at the end of its time."""
+        """Wait until a ticket is admitted; raises Hopeless when its time is over."""
         fut = asyncio.get_running_loop().create_future()
         self.futures[ticket] = fut
         self.admit_waiting()
@@ -93,7 +93,7 @@
         except BaseException as exc:
             self.queue.leave(ticket)
             if fut.done() and not fut.cancelled() and fut.exception() is None:
-                # The turn came just as we gave up: it is the next one's.
+                # Admitted while it timed out or was cancelled: admit the next.
                 self.finished(None)
             if isinstance(exc, TimeoutError):
                 raise Hopeless(self.queue.mean) from None
@@ -102,7 +102,7 @@
             self.futures.pop(ticket, None)
 
     def admit_waiting(self):
-        """Start whoever may, and refuse whom no turn would help any more."""
+        """Admit statements that may start and refuse those that would be too late."""
         now = self.clock()
         for ticket in self.queue.hopeless(now):
             if ticket in self.futures:
@@ -112,7 +112,7 @@
             pass
 
     def admit_next(self, now):
-        """Start the next that waits; tell whether there was one."""
+        """Admit the next waiting statement; tells whether there was one."""
         ticket = self.queue.start_next(now, self.futures)
         if ticket is None:
             return False
@@ -120,7 +120,7 @@
         return True
 
     def resolve(self, ticket, refusal):
-        """End the wait of a ticket."""
+        """End the wait of a ticket: admitted, or refused with an exception."""
         fut = self.futures[ticket]
         if fut.done():
             if refusal is None:
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -1,10 +1,10 @@
-"""Whether a commit is where a takeover would find it.
+"""Check that a commit would survive a takeover.
 
-A primary acknowledges a commit once any replica has it. A takeover pauses the
-replicas that the list names. A replica that joins in between is named by nobody yet:
-a primary that is being replaced acknowledges through it what the new one will not
-have. So a commit is passed on as done once a replica that every takeover under way
-knows has it, and work is turned away while no such replica can be asked.
+A primary acknowledges a commit once any replica has it. A takeover pauses the replicas
+that are listed. A replica that joins later is unknown to the takeover: a primary that
+is being replaced may acknowledge, through that replica, commits that the new primary
+will not have. So a commit is reported as done only once a replica has it that every
+takeover under way knows. Work is refused while no such replica can be asked.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class Evidence(StrEnum):
-    """What the replicas say of a position."""
+    """The replicas' answers about a position, combined."""
 
     HELD = "held"
     LACKING = "lacking"
@@ -26,7 +26,7 @@
 
 
 async def is_confirmed(group, position, leader, *, timeout):
-    """Tell whether a commit at a position may be passed on as done.
+    """Tell whether a commit at a position may be reported as done.
 
     Replicas are queried again until `timeout` seconds have passed: one may lag for a
     moment, or all of this daemon's connections to it may be in use.
@@ -55,13 +55,12 @@
 
 
 async def can_confirm(group, leader, *, timeout):
-    """Tell whether a commit could be confirmed; asks silent replicas once more.
+    """Tell whether a commit could be confirmed; queries unreachable replicas once more.
 
-    What goes wrong without it: a daemon that is cut off from the replicas goes on
-    writing, and has to tell each caller that the outcome is not known. Turned away,
-    the callers come back at another daemon. While no replica is listed, or none that
-    all takeovers know, another daemon is no better: that is waited for, for `patience`
-    seconds at most.
+    Otherwise a daemon that is cut off from the replicas would go on writing and report
+    each outcome as unknown. Refused callers can go to another daemon. If no replica is
+    listed that all takeovers know, other daemons can't confirm commits either, so this
+    waits up to `timeout` seconds for one.
     """
     if not group.spec.sync_replicas:
         return True
@@ -78,11 +77,11 @@
 
 
 async def find_evidence(group, position, leader):
-    """Ask the replicas that any takeover knows of, until one has the position.
+    """Query the replicas that all takeovers know, until one has the position.
 
-    Asking whether a position is applied costs an upstream nothing, asking what it has
-    received takes a slot: so the second is asked only of those that lag, at once where
-    they were seen to.
+    Asking whether a position is applied costs an upstream nothing; asking what it has
+    received takes a slot. So only lagging replicas are asked the latter, at once if
+    they were known to lag.
     """
     tuning = group.context.tuning
     replicas = known_replicas(group, leader)
@@ -105,9 +104,9 @@
 
 
 async def ask_received_hedged(group, replicas, position):
-    """Ask what replicas have received, the least loaded first, then the others.
+    """Ask replicas what they have received, the least loaded first, then the others.
 
-    What goes wrong when all are asked at once: every commit takes a slot of each.
+    Asking all at once would take a slot of each replica for every commit.
     """
     ranked = sorted(
         replicas, key=lambda item: (item.admission.queue.load, item.mean_time)
@@ -126,11 +125,11 @@
 
 
 def known_replicas(group, leader):
-    """Replicas whose word counts: known to any takeover under way, and staying.
+    """Replicas that count as evidence: known to all takeovers under way, not leaving.
 
-    The log of one that leaves goes with it: a commit that only it has is lost with the
-    primary. Where all leave, their word is better than none. One that is not listed
-    now may be unknown to a takeover that reads the list now.
+    The log of a leaving replica goes with it: a commit that only it has is lost with
+    the primary. If all replicas leave, they count all the same. A replica that is not
+    listed now may be unknown to a takeover that reads the list now.
     """
     lease_view = group.context.lease_view
     known = [
@@ -145,10 +144,10 @@
 
 
 async def gather_evidence(group, replicas, query):
-    """What each replica says, by id; ends with the first that has the position.
+    """The answer of each replica by id; ends with the first that has the position.
 
-    One that is silent is not waited for beyond the time of an ordinary answer: after
-    a failover the old primary is, and every commit would wait for it.
+    Waits no longer than an ordinary answer takes: after a failover the old primary does
+    not answer, and every commit would wait for it.
     """
     tasks = {asyncio.create_task(query(item)): item.id for item in replicas}
     found = dict.fromkeys(tasks.values(), Evidence.UNKNOWN)
@@ -168,7 +167,7 @@
 
 
 async def poll_applied(group, item, position, until):
-    """Ask a replica again until it has applied the position or time is up."""
+    """Query a replica until it has applied the position or time is up."""
     tuning, clock = group.context.tuning, group.context.clock
     if item.unreachable and clock() < item.avoid_until:
         return Evidence.UNKNOWN
@@ -186,7 +185,7 @@
 
 
 async def ask_one(group, item, position, query):
-    """What one replica says of a position."""
+    """One replica's answer about a position; UNKNOWN if it gives none."""
     context = group.context
     try:
         pooled = await item.pool.acquire(
@@ -206,7 +205,7 @@
     except UpstreamError as exc:
         item.unreachable = item.unreachable or not is_connection_shortage(exc)
         item.record_failure(exc, context.clock(), context.tuning)
-        context.log(PART, "replica not asked", upstream=item.id, error=str(exc))
+        context.log(PART, "replica query failed", upstream=item.id, error=str(exc))
         return Evidence.UNKNOWN
 
 
@@ -226,14 +225,14 @@
 
 
 async def ask_received(item, conn, position, tuning):
-    """Whether a replica has received what it may not have applied yet."""
+    """Whether a replica has received a position that it may not have applied yet."""
     reply = await conn.ask(STATUS, timeout=tuning.ping_timeout)
     if not reply.ok:
         return Evidence.UNKNOWN
     status = conn.read_status(reply)
     item.record_apply_lag(status.lag_ms / 1000, tuning)
     received = status.received
-    # An end of another term tells nothing: the position may have been cut off there.
+    # A log end in another term proves nothing: the position may have been discarded.
     same_term = received.term == position.term
     held = same_term and received.index >= position.index
     return Evidence.HELD if held else Evidence.LACKING
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -1,4 +1,4 @@
-"""Single reads: a floor, an order of upstreams, and a second try when one is slow."""
+"""Single reads: a minimum position, an order of upstreams, and hedged attempts."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 from gypsum_sessions.upstreams.pooled import sync_session_state
 
 PART = "read"
-# Refusals that another upstream may well answer differently.
+# Refusals after which another upstream may still answer the read.
 RETRY_ELSEWHERE = frozenset(
     {
         Refusal.BUSY,
@@ -24,15 +24,16 @@
         Refusal.READ_ONLY,
     }
 )
-# When all upstreams refused, the next round starts after this many seconds.
+# Seconds before the next round when all upstreams refused.
 ROUND_PAUSE = 0.02
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Attempt:
-    """What one upstream made of a read; `reply` is None if it gave none.
+    """The result of a read at one upstream; `reply` is None if it gave none.
 
-    `wait`: it was not asked, for its queue takes that many seconds; None if it was.
+    `wait` is set if the upstream was not asked because its queue takes that many
+    seconds.
     """
 
     upstream: str
@@ -42,12 +43,12 @@
 
     @property
     def final(self):
-        """Tell whether the caller gets this."""
+        """Tell whether this is the caller's reply."""
         return self.reply is not None and self.reply.refusal not in RETRY_ELSEWHERE
 
 
 async def find_floor(group, job):
-    """Set the position that the job's read has to show; False if none is proven."""
+    """Set the minimum position that the read must show; False if none is proven."""
     context = group.context
     wait = job.time_left(context.clock) * context.tuning.leader_wait_share
     floor = await group.watch.floor_since(job.arrived - job.route.max_age, wait)
@@ -59,7 +60,7 @@
 
 
 async def run_read(group, job):
-    """Run a read wherever it lawfully may; returns the caller's reply."""
+    """Run a read at any upstream that may serve it; returns the caller's reply."""
     if not await find_floor(group, job):
         return no_leader_reply(group.context.tuning)
     while job.time_left(group.context.clock) > 0:
@@ -76,9 +77,9 @@
 
 
 async def run_round(group, job):
-    """One round over the upstreams: the next is asked when one refuses or is slow.
+    """One round over the upstreams: the next is asked if one refuses or is slow.
 
-    Returns the first final attempt, else the last one, None if there was none.
+    Returns the first final attempt, else the most useful one, None if there was none.
     """
     running = set()
     try:
@@ -90,7 +91,7 @@
 
 
 async def run_attempts(group, job, running):
-    """The round; `running` holds the attempts that are under way."""
+    """Run the round; `running` holds the attempts under way."""
     order, last = upstream_order(group, job), None
     while order or running:
         if order:
@@ -117,8 +118,9 @@
 def next_upstream(group, order, *, force):
     """Take the next upstream to ask out of the order; None if it is better to wait.
 
-    What goes wrong when a slow read is asked elsewhere whatever waits there: under a
-    load that all feel, every read is run twice, and nothing is answered any more.
+    Hedging skips upstreams whose queue is full. Otherwise, when all are overloaded,
+    every read would run twice and none would be answered in time. `force` takes the
+    first.
     """
     now = group.context.clock()
     for upstream in order if not force else order[:1]:
@@ -130,7 +132,7 @@
 
 
 def better_attempt(first, second):
-    """Of two attempts the one that says more: an answer, else a shorter queue."""
+    """The more useful of two attempts: an answer, else the shorter queue."""
     if first is None or second.final:
         return second
     if first.wait is None:
@@ -141,14 +143,14 @@
 
 
 def detach_attempts(group, job, tasks):
-    """Let attempts that are not needed any more end on their own."""
+    """Let attempts that are no longer needed end on their own."""
     job.answered = True
     group.track_tasks(tasks)
     job.running_attempts |= tasks
 
 
 def start_attempt(group, job, upstream):
-    """Ask one upstream in a task of its own; no task if it is gone meanwhile."""
+    """Ask one upstream in a new task; no task if it has been removed meanwhile."""
     item = group.upstreams.get(upstream)
     if item is None:
         return set()
@@ -179,7 +181,7 @@
 
 
 def hedge_delay(group, job):
-    """Seconds after which a second upstream is asked as well."""
+    """Seconds until a further upstream is asked as well."""
     tuning = group.context.tuning
     last = group.upstreams.get(job.tried[-1]) if job.tried else None
     mean = last.mean_time if last else tuning.first_mean
@@ -188,7 +190,7 @@
 
 
 async def attempt_read(group, job, item, place):
-    """Ask one upstream in its turn; never raises an UpstreamError."""
+    """Ask one upstream once admitted; never raises an UpstreamError."""
     try:
         async with place:
             if job.answered:
@@ -234,9 +236,9 @@
 
 
 async def ask_read(group, job, item, pooled):
-    """Run the read on a connection and note what it tells of the upstream.
+    """Run the read on a connection and update the upstream's statistics.
 
-    None if it is not needed any more.
+    None if the read is no longer needed.
     """
     context, clock = group.context, group.context.clock
     await sync_session_state(
@@ -247,8 +249,8 @@
         prepared_limit=context.tuning.prepared_limit,
     )
     if job.answered:
-        # Answered elsewhere while this attempt waited for its connection. What goes
-        # wrong when it is sent: it runs after its session's values have changed.
+        # Answered elsewhere while this attempt waited for its connection. If it were
+        # sent, it could run after its session's values have changed.
         return None
     started = clock()
     reply = await pooled.conn.ask(
@@ -264,7 +266,7 @@
 
 
 def record_refusal(context, item, pooled, reply):
-    """Draw conclusions from a refused read."""
+    """Update the state of the upstream and the connection after a refused read."""
     if reply.refusal is Refusal.LAGGING:
         item.record_behind(context.clock(), context.tuning)
     if reply.refusal is Refusal.UNKNOWN_NAME:
@@ -274,7 +276,7 @@
 
 
 def overloaded_reply(job, wait):
-    """The refusal of work that cannot be answered in time; it has not run."""
+    """The refusal of work that can't be answered in time; it has not run."""
     job.queue_wait = wait
     return Reply(
         refusal=Refusal.BUSY,
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -34,21 +34,21 @@
 from gypsum_sessions.upstreams.pooled import PooledConn, roll_back
 
 PART = "transaction"
-# Pause before a statement that the upstream's full queue turned away is sent again.
+# Seconds before a statement is resent that the upstream's full queue rejected.
 BUSY_PAUSE = 0.03
 
 
 class KeyWithdrawn(Exception):
-    """The caller's key was withdrawn while its transaction waited to be opened."""
+    """The caller's key was withdrawn before its transaction was opened."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Transaction:
     """A transaction of one session.
 
-    It is opened at an upstream with its first statement, not before, so that a
-    caller who pauses after BEGIN holds no connection. `arrived` is when BEGIN came:
-    what was acknowledged before then has to be seen.
+    It is opened at an upstream with its first statement, so that a caller who pauses
+    after BEGIN holds no connection. `arrived` is when BEGIN arrived: commits
+    acknowledged before that time must be visible.
     """
 
     group: Group
@@ -62,20 +62,20 @@
     values_set: bool = False
 
     async def run(self, job):
-        """Run a statement; anything but success has rolled it back."""
+        """Run a statement; if it does not succeed, the transaction is rolled back."""
         return await run_in_transaction(self.group, self, job)
 
     async def commit(self, job):
-        """Commit it; it is over either way."""
+        """Commit; the transaction ends in any case."""
         return await commit(self.group, self, job)
 
     async def close(self):
-        """Roll it back if it is open."""
+        """Roll back if the transaction is open."""
         await close(self.group, self)
 
 
 async def open_at_upstream(group, tx, job):
-    """Open the transaction; a Reply if it can't be, else None."""
+    """Open the transaction; returns a refusal if it can't be opened, else None."""
     opened = open_writing if tx.writes else open_reading
     while True:
         try:
@@ -110,7 +110,7 @@
 
 
 async def open_reading(group, tx, job):
-    """BEGIN READ at whichever upstream has the floor."""
+    """BEGIN READ at any upstream that has reached the minimum position."""
     if not await find_floor(group, job):
         return no_leader_reply(group.context.tuning)
     for upstream in upstream_order(group, job):
@@ -127,10 +127,10 @@
 
 
 async def begin_at(group, tx, job, item, statement, after=None):
-    """Open the transaction at one upstream in its turn; tell whether it is open.
+    """Open the transaction at one upstream once admitted; tell whether it is open.
 
-    Raises Hopeless. What goes wrong when it takes a connection out of turn: rushes of
-    transactions hold all of them while what is worth more waits.
+    Raises Hopeless. Without admission, bursts of transactions would hold all
+    connections while statements of higher priority wait.
     """
     job.tried.append(item.id)
     async with item.admission.enqueue(job.admission_request()):
@@ -170,7 +170,7 @@
 
 
 async def run_in_transaction(group, tx, job):
-    """Run a statement; anything but success ends the transaction, rolled back."""
+    """Run a statement; if it does not succeed, the transaction is rolled back."""
     if tx.pooled is None:
         refused = await open_at_upstream(group, tx, job)
         if refused is not None:
@@ -194,17 +194,17 @@
 
 
 def count_statement(group, tx):
-    """Count a statement at its upstream; it does not wait for a turn.
+    """Count a statement at its upstream; it does not wait for admission.
 
-    What goes wrong when it does: a transaction holds its connection, and at the leader
-    what others wait for, longer than it has to.
+    If it did, the transaction would hold its connection longer than necessary, and at
+    the leader also what other statements wait for.
     """
     item = group.upstreams.get(tx.upstream)
     return item.admission.unqueued() if item is not None else nullcontext()
 
 
 async def send_until_accepted(group, tx, job):
-    """Send a statement, again while the upstream's queue is full."""
+    """Send a statement, and resend it while the upstream's queue is full."""
     clock = group.context.clock
     while True:
         started = clock()
@@ -230,7 +230,7 @@
 
 
 async def commit(group, tx, job):
-    """COMMIT; the reply says whether it is kept, is not, or is in doubt."""
+    """COMMIT; the reply says whether it is kept, rolled back or in doubt."""
     if tx.pooled is None:
         refused = await open_at_upstream(group, tx, job)
         if refused is not None:
@@ -254,7 +254,7 @@
         await abandon(group, tx)
         group.context.log(
             PART,
-            "commit unanswered",
+            "no answer to commit",
             request=job.request,
             upstream=tx.upstream,
             wrote=tx.wrote,
@@ -280,7 +280,7 @@
 
 
 def refused_commit(tx, reply):
-    """What the caller is told of a COMMIT that the upstream answered with an error."""
+    """The reply for a COMMIT that the upstream answered with an error."""
     unclear = reply.refusal in (Refusal.FAILED, Refusal.TIMEOUT, Refusal.IN_DOUBT)
     if unclear and tx.wrote:
         return Reply(refusal=Refusal.IN_DOUBT, detail=f"commit {reply.refusal}")
@@ -288,12 +288,12 @@
 
 
 def aborted_reply(detail):
-    """Nothing of the transaction is kept: no COMMIT was sent, or it was refused."""
+    """Nothing of the transaction is kept: COMMIT was not sent, or was refused."""
     return Reply(refusal=Refusal.ABORTED, detail=f"rolled back, {detail}")
 
 
 async def abandon(group, tx):
-    """Close the connection: that rolls back, whatever state it is in."""
+    """Close the connection, which rolls back in any state."""
     if tx.pooled is None:
         return
     tx.pooled.conn.close()
@@ -301,7 +301,7 @@
 
 
 async def close(group, tx):
-    """Give the connection back, rolled back if anything is open on it."""
+    """Release the connection, rolled back if a transaction is open on it."""
     pooled, tx.pooled = tx.pooled, None
     if pooled is None:
         return
@@ -311,13 +311,13 @@
 
 
 async def roll_back_and_release(group, pool, pooled):
-    """Roll back if needed, then release."""
+    """Roll back if needed, then release the connection."""
     try:
         if pooled.alive and pooled.in_transaction:
             await roll_back(pooled, group.context.tuning.command_timeout)
     except UpstreamError as exc:
         group.context.log(
-            PART, "rollback unanswered", upstream=pooled.upstream, error=str(exc)
+            PART, "no answer to rollback", upstream=pooled.upstream, error=str(exc)
         )
     finally:
         pool.release(pooled)
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -21,16 +21,16 @@
 from gypsum_sessions.upstreams.pooled import sync_session_state
 
 PART = "write"
-# Pause after a refusal by the leader, seconds: its queue is full or it steps down.
+# Seconds before a retry if the leader refused: its queue is full or it steps down.
 REFUSED_PAUSE = 0.03
 
 
 class NotSent(Exception):
-    """The statement was not sent; another try is safe."""
+    """The statement was not sent, so it is safe to retry."""
 
 
 async def run_write(group, job):
-    """Run a write; it is tried again only while it provably has not run."""
+    """Run a write; it is retried only while it provably has not run."""
     context, clock = group.context, group.context.clock
     wait_until = clock() + job.time_left(clock) * context.tuning.leader_wait_share
     last = None
@@ -72,7 +72,7 @@
 
 
 async def try_write(group, job, item):
-    """One try at the leader; raises NotSent if the write did not leave us."""
+    """One attempt at the leader; raises NotSent if the write was not sent."""
     context, clock = group.context, group.context.clock
     pooled = await acquire_verified(group, item, job)
     try:
@@ -118,14 +118,14 @@
 
 
 def unconfirmed_reply():
-    """The reply for a commit that a takeover might not find."""
+    """The reply for a commit that a takeover might lose."""
     return Reply(
         refusal=Refusal.IN_DOUBT, detail="may have run, no known replica has it"
     )
 
 
 def lost_write(group, job, item, exc):
-    """The reply for a write that was sent and not answered."""
+    """The reply for a write that got no answer; raises NotSent if it was not sent."""
     if isinstance(exc, UpstreamLost) and not exc.sent:
         raise NotSent(str(exc)) from exc
     item.record_failure(exc, group.context.clock(), group.context.tuning)
@@ -138,7 +138,7 @@
 
 
 async def sync_session(group, job, pooled):
-    """Bring a connection to the session's values."""
+    """Set a connection's values and prepared statements to the session's."""
     tuning = group.context.tuning
     await sync_session_state(
         pooled,
@@ -150,11 +150,11 @@
 
 
 async def acquire_verified(group, item, job):
-    """A connection that has just answered; raises NotSent.
+    """A connection that has just answered a round trip; raises NotSent.
 
-    What goes wrong without the trial: something between us and the upstream has
-    forgotten the connection, the write on it gets no answer, and its outcome is
-    unknown although it never arrived. It takes a round trip, 2 ms, and no slot.
+    Without that check, a write could be sent on a connection that a middlebox has
+    dropped: it would get no answer and its outcome would be unknown, although it never
+    arrived. The check takes a round trip, 2 ms, and no slot.
     """
     tuning = group.context.tuning
     while True:
