--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -171,14 +171,14 @@
     tuning, clock = group.context.tuning, group.context.clock
     if item.unreachable and clock() < item.avoid_until:
         return Evidence.UNKNOWN
-    began = clock()
+    started_at = clock()
     while True:
         found = await ask_one(group, item, position, ask_applied)
         if found is not Evidence.LACKING or clock() >= until:
             break
         await asyncio.sleep(tuning.confirm_pause)
     if found is Evidence.HELD:
-        item.record_apply_lag(clock() - began, tuning)
+        item.record_apply_lag(clock() - started_at, tuning)
     elif found is Evidence.LACKING:
         item.record_apply_lag(2 * tuning.confirm_for, tuning)
     return found
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -243,12 +243,12 @@
         await close(group, tx)
         return aborted_reply("no replica can be asked")
     asked_at = group.context.clock()
-    number = group.stall.begin(asked_at) if tx.wrote else 0
+    stall_id = group.stall.begin(asked_at) if tx.wrote else 0
     try:
         async with count_statement(group, tx):
             reply = await send_until_accepted(group, tx, job)
-        if number:
-            group.stall.end(number, group.context.clock())
+        if stall_id:
+            group.stall.end(stall_id, group.context.clock())
     except UpstreamError as exc:
         group.watch.doubt(tx.upstream)
         await abandon(group, tx)
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -82,7 +82,7 @@
             group.watch.doubt(item.id)
             raise NotSent(str(exc)) from exc
         asked_at = clock()
-        number = group.stall.begin(asked_at)
+        stall_id = group.stall.begin(asked_at)
         try:
             reply = await pooled.conn.ask(
                 job.statement, timeout=job.time_left(clock), request=job.request
@@ -90,7 +90,7 @@
         except UpstreamError as exc:
             group.watch.doubt(item.id)
             return lost_write(group, job, item, exc)
-        group.stall.end(number, clock())
+        group.stall.end(stall_id, clock())
         if reply.ok:
             item.record_answer(
                 clock() - asked_at, reply.position, clock(), context.tuning
--- a/packages/sessions/gypsum_sessions/upstreams/upstream.py
+++ b/packages/sessions/gypsum_sessions/upstreams/upstream.py
@@ -30,7 +30,7 @@
     admission: AdmissionQueue
     mean_time: float
     avoid_until: float = 0.0
-    avoid_for: float = 0.0
+    avoid_backoff: float = 0.0
     lagging_until: float = 0.0
     position: Position | None = None
     apply_lag: float = 0.0
@@ -96,7 +96,7 @@
         """Record an answer over a pooled connection; ends the pause after failures."""
         self.last_response_at = now
         self.unreachable = False
-        self.avoid_for = 0.0
+        self.avoid_backoff = 0.0
         self.avoid_until = 0.0
 
     def record_failure(self, exc, now, tuning):
@@ -107,10 +107,10 @@
         """
         if is_connection_shortage(exc) or now < self.avoid_until:
             return
-        self.avoid_for = min(
-            max(tuning.avoid_first, 2 * self.avoid_for), tuning.avoid_most
+        self.avoid_backoff = min(
+            max(tuning.avoid_first, 2 * self.avoid_backoff), tuning.avoid_most
         )
-        self.avoid_until = now + self.avoid_for
+        self.avoid_until = now + self.avoid_backoff
 
 
 def is_connection_shortage(exc):
--- a/tests/sessions/test_confirm.py
+++ b/tests/sessions/test_confirm.py
@@ -1,4 +1,4 @@
-"""Commits are passed on only where a takeover would find them."""
+"""Commits are reported as done only if they would survive a takeover."""
 
 import asyncio
 from dataclasses import replace
@@ -10,7 +10,7 @@
 from tests.sessions.vclock import run
 
 
-async def settled_rig():
+async def make_settled_rig():
     """A group whose members have been listed for a while."""
     rig = Rig()
     await rig.settle()
@@ -19,15 +19,15 @@
 
 
 def test_a_commit_that_only_an_unknown_member_has_is_in_doubt():
-    """Symptom: an acknowledged commit is missing after a promotion.
+    """Guards against an acknowledged commit that is missing after a promotion.
 
-    Sequence: the primary is cut from its replicas, a takeover pauses them and orders
-    a promotion, a new member joins the old primary and lets waiting commits be
-    acknowledged, the promotion takes effect. Cause: the member was on nobody's list.
+    The primary is cut off from its replicas; a takeover pauses them and orders a
+    promotion. A new member, which no daemon has listed, joins the old primary and lets
+    it acknowledge waiting commits; then the promotion takes effect.
     """
 
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         rig.group["u1"].cut_from.update({"u2", "u3"})
         caller = rig.caller("own")
         writing = asyncio.create_task(caller.send("WRITE a 1"))
@@ -41,7 +41,7 @@
 
 def test_a_member_listed_a_moment_ago_is_no_proof():
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         rig.group["u1"].cut_from.update({"u2", "u3"})
         joined = FakeMember(id="u4", group=rig.group)
         rig.group.members.append(joined)
@@ -54,7 +54,7 @@
 
 def test_a_lagging_replica_that_received_the_commit_is_proof():
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         for replica in rig.group.replicas():
             replica.lag = 3.0
         assert (await rig.caller("own").send("WRITE a 1")).ok
@@ -63,7 +63,7 @@
 
 
 def cut_off(rig, *names):
-    """Take the daemon's way to members: open connections go silent, new ones hang."""
+    """Cut the daemon off from members: open connections fall silent, new ones hang."""
     rig.proxy.context.dialer.dialer.cut.update(names)
     for name in names:
         for conn in list(rig.group[name].conns):
@@ -71,15 +71,14 @@
 
 
 def test_a_daemon_that_can_ask_no_replica_turns_writes_away():
-    """Symptom: callers of a daemon that is cut off hear of each write that it may have
-    run, and cannot try again elsewhere.
+    """Guards against writes reported as in doubt that could be retried elsewhere.
 
-    Sequence: the daemon loses its way to the replicas, not to the primary. Cause: it
-    goes on writing though it cannot confirm any commit.
+    A daemon loses the replicas but still reaches the primary. It must not run writes
+    whose commits it can't confirm.
     """
 
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         cut_off(rig, "u2", "u3")
         caller = rig.caller("own")
         await caller.send("WRITE first 1")
@@ -98,14 +97,14 @@
 
 
 def test_a_slow_replica_can_be_asked():
-    """Symptom: writes are refused for want of a replica while one is merely slow.
+    """Guards against refused writes while a replica is merely slow.
 
-    Sequence: one replica is down, reads at the other take longer than callers wait.
-    Cause: a read without an answer counted as a replica out of reach.
+    One replica is down, and reads at the other take longer than callers wait. A read
+    without an answer must not make the replica count as unreachable.
     """
 
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         rig.group["u3"].dark = True
         rig.group["u2"].work = 2.0
         readers = [rig.caller("bounded") for _ in range(2)]
@@ -119,10 +118,10 @@
 
 
 def test_without_a_connection_to_any_replica_writes_are_turned_away():
-    """Symptom: after a power loss of all daemons commits are in doubt.
+    """Guards against commits in doubt after all daemons lost power.
 
-    Sequence: the replicas still count the connections that were lost and take no new
-    ones; a daemon has none to them and writes. Cause: it counted on being able to ask.
+    The replicas still count the lost connections and accept no new ones, so a daemon
+    without a connection to any of them can't confirm commits.
     """
 
     async def main():
@@ -142,15 +141,16 @@
 
 
 def test_a_commit_that_nobody_can_be_asked_of_is_in_doubt():
-    """Symptom: an acknowledged commit is missing after a promotion.
+    """Guards against an acknowledged commit that is missing after a promotion.
 
-    Sequence: a daemon loses its way to the replicas; the primary is cut from them and
-    replaced, a new member joins it and acknowledges a commit at once. Cause: with no
-    replica to ask, a commit that had not waited was trusted.
+    A daemon loses the replicas; the primary is cut off from them and replaced. A new
+    member joins the old primary, which then acknowledges a commit at once. Without a
+    replica to ask, such a commit must not be trusted even though it did not have to
+    wait.
     """
 
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         rig.group["u1"].cut_from.update({"u2", "u3"})
         cut_off(rig, "u2", "u3")
         rig.group.members.append(FakeMember(id="u4", group=rig.group))
@@ -162,7 +162,7 @@
 
 def test_an_open_transaction_that_cannot_be_confirmed_is_rolled_back():
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         caller = rig.caller("own")
         await caller.send("BEGIN")
         assert (await caller.send("WRITE a 1")).ok
@@ -176,15 +176,15 @@
 
 
 def test_a_commit_that_only_a_leaving_replica_has_is_in_doubt():
-    """Symptom: an acknowledged commit is missing after a promotion.
+    """Guards against an acknowledged commit that is missing after a promotion.
 
-    Sequence: one replica hears nothing, another is leaving; commits are acknowledged
-    through the one that leaves; it goes, the primary crashes, the first is promoted.
-    Cause: the log of a replica that leaves goes with it, and its word was taken.
+    One replica receives nothing and another is leaving; commits are acknowledged
+    through the leaving one. When it has left with its log and the primary crashes, the
+    first is promoted without them.
     """
 
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         rig.group["u2"].deaf = True
         rig.proxy.take_members(
             [
@@ -199,14 +199,15 @@
 
 
 def test_all_commits_that_waited_through_a_standstill_are_in_doubt():
-    """Symptom: of commits acknowledged together one is in doubt, the others are lost.
+    """Guards against commits acknowledged although a takeover may lose them.
 
-    Sequence: as above, but several wait when the unknown member joins, and no replica
-    can be asked. Cause: the first answer ended the standstill for all of them.
+    Several commits wait while the primary and this daemon are cut off from the
+    replicas. A new member then lets the primary acknowledge them together. The first
+    answer must not end the stall for the others.
     """
 
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         rig.group["u1"].cut_from.update({"u2", "u3"})
         rig.proxy.context.dialer.dialer.cut.update({"u2", "u3"})
         for name in ("u2", "u3"):
@@ -226,15 +227,15 @@
 
 
 def test_entries_that_are_back_confirm_again_within_a_second():
-    """Symptom: no commit can be confirmed for seconds after an outage of the store.
+    """Guards against unconfirmed commits for seconds after an outage of the store.
 
-    Sequence: the entries of all members were lost and are back as new ones; nothing
-    changes among the leases. Cause: how far the leases are known shows only when their
-    watch ends.
+    The entries of all members were lost and are back as new ones, while no lease
+    changes. The revision up to which the leases are known must advance without waiting
+    for their watch to end.
     """
 
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         rig.proxy.keep_running(rig.proxy.keep_leases_known)
         for member in rig.group.members:
             member.joined = rig.group.next_revision()
@@ -250,15 +251,15 @@
 
 
 def test_a_replica_that_restarts_during_a_takeover_confirms_nothing():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+    """Guards against an acknowledged commit lost by a promotion.
 
-    Sequence: a takeover has paused the replicas, one restarts and is paused no longer,
-    the old primary acknowledges a commit through it, the takeover promotes another.
-    Cause: what the replica has received since its restart counted.
+    A takeover has paused the replicas; one restarts and is no longer paused. The old
+    primary acknowledges a commit through it and the takeover promotes another replica.
+    What it has received since its restart must not count as evidence.
     """
 
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
         rig.proxy.board.note("db", lease)
         for name in ("u2", "u3"):
@@ -273,10 +274,10 @@
 
 
 def test_connections_that_a_takeover_finds_confirm_during_it():
-    """The counterpart: while a takeover is under way commits go on."""
+    """Connections opened before a takeover confirm commits while it is under way."""
 
     async def main():
-        rig = await settled_rig()
+        rig = await make_settled_rig()
         assert (await rig.caller("own").send("WRITE a 1")).ok
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
         rig.proxy.board.note("db", lease)
--- a/tests/sessions/test_freshness.py
+++ b/tests/sessions/test_freshness.py
@@ -1,4 +1,4 @@
-"""Reads are never older than their route allows, whatever replicas do."""
+"""Reads are never older than their route allows, whatever state replicas are in."""
 
 import asyncio
 from dataclasses import replace
@@ -18,10 +18,11 @@
 
 
 def test_floors_of_a_replaced_primary_are_forgotten():
-    """Symptom: every replica refuses reads for seconds after a promotion.
+    """Guards against replicas that refuse reads for seconds after a promotion.
 
-    Sequence: the old primary shows a position that no replica has received, it is
-    replaced, reads ask for that position. Cause: its tail was rolled back.
+    The old primary reported a position that no replica has received. After its
+    replacement that part of its log is discarded, so reads must not require the
+    position.
     """
 
     async def main():
@@ -73,11 +74,11 @@
 
 
 def test_a_primary_read_is_not_run_by_a_primary_that_was_replaced():
-    """Symptom: a read shows data without a commit that was acknowledged before it.
+    """Guards against a read that misses a commit acknowledged before it.
 
-    Sequence: a daemon cannot hear of a promotion and still talks to the old
-    primary; a commit is acknowledged by the new one; the daemon reads. Cause: a
-    former primary answers single reads like any replica.
+    A daemon misses a promotion and still reaches the old primary, which answers single
+    reads like any replica. The new primary acknowledges a commit, then the daemon
+    reads.
     """
 
     async def main():
@@ -101,10 +102,10 @@
 
 
 def test_time_spent_suspended_ages_floors():
-    """Symptom: a read is older than allowed after the machine was suspended.
+    """Guards against reads older than allowed after the machine was suspended.
 
-    Sequence: a floor is learnt, the machine is suspended for ten seconds, a read
-    comes. Cause: the steady clock stood still, so the floor looked young.
+    The clock has to count suspended time. Otherwise a floor that was learnt before the
+    suspension would still look recent.
     """
 
     async def main():
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -1,4 +1,4 @@
-"""An upstream starts again under its name, with nothing of what it held before."""
+"""An upstream that restarts under its name without its earlier data."""
 
 import asyncio
 from dataclasses import replace
@@ -26,15 +26,15 @@
 
 
 def make_roster():
-    """A roster whose clock stands still."""
+    """A roster with a fixed clock."""
     return Roster(clock=lambda: 100.0, missing_checks=10)
 
 
 def test_a_new_start_replaces_the_earlier_one_at_once():
-    """Symptom: a takeover waits for a member that no longer exists.
+    """Guards against a takeover that waits for a member that no longer exists.
 
-    Sequence: a replica starts again under its name, its entry changes. Cause: the
-    earlier start stays a member of its own until its grace is over.
+    A replica restarts under its name and its entry changes. The earlier incarnation
+    must not stay a member until its grace period ends.
     """
     roster = make_roster()
     roster.update(FIRST)
@@ -43,11 +43,11 @@
 
 
 def test_a_new_start_under_an_old_entry_counts_as_joined_when_it_changed():
-    """Symptom: an acknowledged commit is missing after a takeover.
+    """Guards against an acknowledged commit that is missing after a takeover.
 
-    Sequence: a takeover takes its lease and pauses a replica, the replica starts
-    again under its entry and receives, its word confirms a commit. Cause: the entry
-    is older than the lease, so the new process counted as known to the takeover.
+    A takeover takes its lease and pauses a replica, which then restarts under its old
+    entry, receives a commit and confirms it. The entry is older than the lease, but the
+    new process must not count as known to the takeover.
     """
     roster = make_roster()
     roster.update(FIRST)
@@ -77,18 +77,18 @@
     assert roster.members["u@2"].missing_since == 100.0
 
 
-def refresh(rig):
-    """All daemons see the list as it is now."""
+def update_lists(rig):
+    """Give all daemons the list as it is now."""
     for proxy in rig.proxies:
         proxy.take_members(rig.group.listing())
         rig.catch_up(proxy)
 
 
 def test_nothing_that_was_kept_of_a_replica_outlives_its_start():
-    """Symptom: a read waits for a position that an empty replica is said to have.
+    """Guards against a read that waits for a position an empty replica does not have.
 
-    Sequence: a replica starts again, empty, under its name. Cause: its connections,
-    its last position and its mean time were kept by name.
+    A replica restarts empty under its name. Its connections, last position and mean
+    time must not be kept by name.
     """
 
     async def main():
@@ -98,7 +98,7 @@
         group = rig.proxy.groups["db"]
         before = group.upstreams["u2"]
         rig.group["u2"].restart_empty()
-        refresh(rig)
+        update_lists(rig)
         assert "u2" not in group.upstreams
         assert group.upstreams["u2@2"].pool is not before.pool
         assert group.upstreams["u2@2"].position is None
@@ -113,7 +113,7 @@
         lease = await rig.leases.take("db", "other", rig.leases.lease)
         rig.proxy.board.note("db", lease)
         rig.group["u2"].restart_empty()
-        refresh(rig)
+        update_lists(rig)
         known = known_replicas(rig.proxy.groups["db"], "u1")
         assert [item.id for item in known] == ["u3"]
 
@@ -121,54 +121,53 @@
 
 
 def test_a_replica_that_came_back_empty_is_not_promoted_over_a_log():
-    """Symptom: commits are lost after a promotion.
+    """Guards against commits lost by a promotion.
 
-    Sequence: a replica starts again, empty, and receives nothing; the primary
-    crashes. Cause: the empty log counted as good as any.
+    A replica restarts empty and receives nothing, then the primary crashes. The empty
+    log must not rank as high as others.
     """
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        await write_for(rig, rig.proxy, 1.0, told)
+        outcomes = []
+        await write_for(rig, rig.proxy, 1.0, outcomes)
         rig.group["u2"].restart_empty()
         rig.group["u2"].deaf = True
-        refresh(rig)
+        update_lists(rig)
         rig.group["u1"].crash()
         await asyncio.sleep(4.0)
         assert [name for name, _ in rig.group.promotions] == ["u3"]
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, outcomes)
 
     run(main())
 
 
 def test_a_primary_that_came_back_empty_is_replaced_by_a_log_that_is_whole():
-    """Symptom: all that was written is gone, and reads show nothing.
+    """Guards against losing all data when the primary restarts empty under its name.
 
-    Sequence: the primary starts again under its name and holds nothing. Cause: it was
-    taken for the primary that it was.
+    The new process must not be taken for the primary that it was.
     """
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        await write_for(rig, rig.proxy, 1.0, told)
+        outcomes = []
+        await write_for(rig, rig.proxy, 1.0, outcomes)
         rig.group["u1"].restart_empty()
-        refresh(rig)
+        update_lists(rig)
         await asyncio.sleep(4.0)
         assert [name for name, _ in rig.group.promotions][0] in ("u2", "u3")
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, outcomes)
 
     run(main())
 
 
 def test_a_member_that_started_again_is_not_promoted_by_its_name():
-    """Symptom: an empty upstream leads.
+    """Guards against an empty upstream that becomes the leader.
 
-    Sequence: a takeover chooses a member, which starts again before the order. Cause:
-    the order names it, and the platform knows its name only.
+    A takeover chooses a member, which restarts before the order. The platform knows
+    only its name, so the order would reach the new process.
     """
 
     async def main():
@@ -176,7 +175,7 @@
         await rig.settle()
         takeover = rig.proxy.takeovers["db"]
         rig.group["u2"].restart_empty()
-        refresh(rig)
+        update_lists(rig)
         await takeover.order("u2")
         assert rig.promoter.orders == []
 
@@ -184,25 +183,25 @@
 
 
 def test_a_paused_member_that_starts_again_empty_is_not_taken_for_the_paused_one():
-    """Symptom: an empty upstream is promoted, for its pause is remembered.
+    """Guards against promoting an empty upstream whose earlier process was paused.
 
-    Sequence: a takeover pauses both replicas and its order gets no answer; the ordered
-    one starts again, empty, and receives nothing. Cause: that it was paused before
-    made it the choice of the next round, by its name.
+    A takeover pauses both replicas and its order gets no answer. The ordered replica
+    restarts empty and receives nothing. The earlier pause, found by name, must not make
+    it the choice of the next round.
     """
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        await write_for(rig, rig.proxy, 1.0, told)
+        outcomes = []
+        await write_for(rig, rig.proxy, 1.0, outcomes)
         rig.group["u1"].dark = True
         control = rig.proxy.takeovers["db"].control
         paused = await control.pause_all("u1", step_down=False)
         assert {item.upstream for item in paused} == {"u2", "u3"}
         rig.group["u3"].restart_empty()
         rig.group["u3"].deaf = True
-        refresh(rig)
+        update_lists(rig)
         again = await control.pause_all("u1", step_down=False)
         held = {item.upstream: item.held_before for item in again}
         assert held == {"u2": True, "u3@2": False}
@@ -212,18 +211,18 @@
 
 
 def test_an_empty_replica_confirms_nothing_while_the_list_does_not_tell_of_it():
-    """Symptom: an acknowledged commit is nowhere but at the primary.
+    """Guards against an acknowledged commit that only the primary has.
 
-    Sequence: the store is away; a replica starts again, empty, and receives nothing;
-    the other one is cut off; a commit waits. Cause: the word of the replica's earlier
-    start counted for its new one.
+    The store is down. One replica restarts empty and receives nothing, the other is cut
+    off, and a commit waits. The restarted replica must not confirm it by what its
+    earlier process had received.
     """
 
     async def main():
         rig = Rig()
         await rig.settle()
-        told = []
-        await write_for(rig, rig.proxy, 0.5, told)
+        outcomes = []
+        await write_for(rig, rig.proxy, 0.5, outcomes)
         rig.group["u2"].restart_empty()
         rig.group["u2"].deaf = rig.group["u3"].deaf = True
         rig.group.sync = 0
@@ -234,7 +233,7 @@
 
 
 def test_only_the_end_of_several_starts_is_seen():
-    """The list is read anew after an outage: one start is over that nobody saw."""
+    """An incarnation that came and went during an outage is skipped."""
     roster = make_roster()
     roster.update(FIRST)
     third = replace(FIRST, id="u@3", born=3, changed=20)
--- a/tests/sessions/test_lagging.py
+++ b/tests/sessions/test_lagging.py
@@ -1,7 +1,7 @@
-"""Replicas that apply late, as a load: what commits and reads cost there.
+"""Cost of commits and reads while replicas apply late.
 
 The load: a group of three whose replicas apply a commit 150 ms after they received it,
-and callers that write one after the other.
+and callers that write sequentially.
 """
 
 from tests.sessions.rig import Rig
@@ -10,7 +10,7 @@
 LAG = 0.15
 
 
-async def lagging_rig():
+async def make_lagging_rig():
     """A group whose replicas apply late."""
     rig = Rig()
     for member in rig.group.replicas():
@@ -19,8 +19,8 @@
     return rig
 
 
-async def times_of(rig, text, count):
-    """Seconds that each of some statements took, one after the other."""
+async def measure(rig, text, count):
+    """Seconds that each of `count` statements took, run sequentially."""
     caller, times = rig.caller("own"), []
     for number in range(count):
         began = rig.loop.time()
@@ -30,15 +30,15 @@
 
 
 def test_commits_do_not_wait_for_replicas_that_are_known_to_lag():
-    """Symptom: every commit takes 50 ms more than its work.
+    """Guards against commits that take 50 ms longer than their work.
 
-    Sequence: replicas apply late; each commit first waits for one to apply it, then
-    asks what was received. Cause: the wait was the same whatever was seen before.
+    Each commit first waited for a replica to apply it, then asked what was received.
+    The replicas' usual lag has to shorten that wait.
     """
 
     async def main():
-        rig = await lagging_rig()
-        times = await times_of(rig, "WRITE a", 12)
+        rig = await make_lagging_rig()
+        times = await measure(rig, "WRITE a", 12)
         assert times[0] > 0.07
         assert max(times[4:]) < 0.035
 
@@ -47,11 +47,11 @@
 
 def test_commits_wait_again_once_replicas_have_caught_up():
     async def main():
-        rig = await lagging_rig()
-        await times_of(rig, "WRITE a", 6)
+        rig = await make_lagging_rig()
+        await measure(rig, "WRITE a", 6)
         for member in rig.group.replicas():
             member.lag = 0.005
-        await times_of(rig, "WRITE a", 30)
+        await measure(rig, "WRITE a", 30)
         replicas = [
             item
             for item in rig.proxy.groups["db"].upstreams.values()
@@ -64,20 +64,20 @@
 
 def test_one_replica_is_asked_for_a_commit_and_the_other_only_if_it_is_slow():
     async def main():
-        rig = await lagging_rig()
-        await times_of(rig, "WRITE a", 6)
+        rig = await make_lagging_rig()
+        await measure(rig, "WRITE a", 6)
         asked = []
         for member in rig.group.replicas():
             for conn in member.conns:
                 conn.status = count(asked, member.id, conn.status)
-        await times_of(rig, "WRITE a", 10)
+        await measure(rig, "WRITE a", 10)
         assert len(asked) == 10
 
     run(main())
 
 
 def count(asked, name, status):
-    """Count the questions for a member's status."""
+    """Count the queries for a member's status."""
 
     def counted():
         asked.append(name)
--- a/tests/sessions/test_late_reads.py
+++ b/tests/sessions/test_late_reads.py
@@ -1,4 +1,4 @@
-"""Reads that are answered elsewhere while they wait run nowhere any more."""
+"""Reads that were answered elsewhere while they waited are not sent."""
 
 import asyncio
 
@@ -8,8 +8,8 @@
 from tests.sessions.vclock import run
 
 
-async def hold_all(pool):
-    """Take all connections that a pool gives out."""
+async def acquire_all(pool):
+    """Acquire all connections that a pool gives out."""
     held = [await pool.acquire(values={}, timeout=1.0, workspace="")]
     while pool.has_capacity():
         held.append(await pool.acquire(values={}, timeout=1.0, workspace=""))
@@ -17,12 +17,11 @@
 
 
 def test_a_read_that_got_its_connection_too_late_is_not_sent():
-    """Symptom: PINNED, a read runs with values that its session does not have any more.
+    """Guards against a PINNED failure: a read runs with values that its session lost.
 
-    Sequence: a read waits for a connection at one replica, is asked at another one as
-    well and answered; its session sets a value; the first replica's connection comes
-    free, and the read is sent there. Cause: whether it was still wanted was looked at
-    before it waited for the connection, and not after.
+    A read waits for a connection at one replica and is answered by another. Its session
+    then sets a value. When the first replica's connection comes free, the read must not
+    be sent there: whether it is still needed is checked again after the wait.
     """
 
     async def main():
@@ -33,7 +32,7 @@
         await caller.send("READ a")
         rig.group["u1"].work = 0.3
         held = {
-            name: await hold_all(group.upstreams[name].pool) for name in ("u2", "u3")
+            name: await acquire_all(group.upstreams[name].pool) for name in ("u2", "u3")
         }
         reading = asyncio.create_task(caller.send("READ a"))
         await asyncio.sleep(0.01)
@@ -49,7 +48,7 @@
 
 
 def test_an_attempt_at_the_end_of_its_time_counts_as_running():
-    """What else may still run is told as running, also with no time left."""
+    """An attempt that still runs is reported as running even with no time left."""
 
     async def main():
         job = Job(
--- a/tests/sessions/test_outcomes.py
+++ b/tests/sessions/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What callers are told of statements that were lost on the way."""
+"""Replies to callers for statements that were lost on the way."""
 
 import asyncio
 
@@ -84,10 +84,10 @@
 
 
 def test_a_write_over_a_connection_that_went_silent_is_sent_over_another():
-    """Symptom: writes are in doubt though the primary is well.
+    """Guards against writes in doubt although the primary is healthy.
 
-    Sequence: a middlebox forgets our open connections; the next write goes over one
-    of them. Cause: the write was the first to find out.
+    A middlebox drops the open connections. The loss must be detected before the next
+    write is sent over one of them.
     """
 
     async def main():
@@ -133,10 +133,10 @@
 
 
 def test_a_commit_that_never_left_is_aborted_not_in_doubt():
-    """Symptom: a caller has to find out by itself whether a transaction is kept.
+    """Guards against an unknown outcome for a COMMIT that was not sent.
 
-    Sequence: the upstream crashes while a transaction rests, then COMMIT comes. Cause:
-    any failure of COMMIT counted as one after sending.
+    The upstream crashes while a transaction is idle, then COMMIT arrives. Only a
+    failure after sending leaves the outcome in doubt.
     """
 
     async def main():
--- a/tests/sessions/test_pool.py
+++ b/tests/sessions/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to one upstream: few, shared in turn, none leaked."""
+"""The pool of connections to one upstream: limits, order of service, no leaks."""
 
 import asyncio
 
@@ -56,7 +56,7 @@
     run(main())
 
 
-def test_who_waits_longest_is_served_first():
+def test_waiters_are_served_in_order_of_arrival():
     async def main():
         pool, _, _ = make_pool(limit=1)
         held = await pool.acquire(values={}, timeout=1.0)
@@ -103,11 +103,10 @@
     run(main())
 
 
-def test_failed_dials_are_put_off_ever_longer():
-    """Symptom: a dead upstream is dialled hundreds of times a second.
+def test_failed_dials_are_retried_with_increasing_backoff():
+    """Guards against dialling a dead upstream hundreds of times a second.
 
-    Sequence: an upstream crashes, every statement that would go there dials. Cause:
-    nothing remembered that the last dial had failed a moment ago.
+    After an upstream crashed, each statement routed there dialled again at once.
     """
 
     async def main():
@@ -139,12 +138,12 @@
     run(main())
 
 
-def test_at_the_upstreams_limit_our_own_connections_are_waited_for():
-    """Symptom: after all daemons lost power statements fail at healthy upstreams.
+def test_at_the_upstreams_limit_a_request_waits_for_an_open_connection():
+    """Guards against statements failing at healthy upstreams after a power loss.
 
-    Sequence: an upstream still counts the connections that were lost, a daemon's second
-    one is refused, the statement fails. Cause: a dial was tried, and its refusal passed
-    on, though the daemon's first connection was free a moment later.
+    The upstream still counts the lost connections and refuses a daemon's second one.
+    The refusal must not fail the statement, as the first connection is free a moment
+    later.
     """
 
     async def main():
@@ -160,7 +159,7 @@
     run(main())
 
 
-def test_a_refusal_at_the_limit_is_told_as_one_and_dialled_again_soon():
+def test_a_refusal_at_the_limit_is_reported_as_one_and_retried_soon():
     async def main():
         pool, group, dialer = make_pool()
         group["u1"].limit = 0
@@ -189,12 +188,11 @@
     run(main())
 
 
-def test_what_was_not_needed_for_a_while_is_closed_but_for_one():
-    """Symptom: an upstream refuses the connection that proves its lead.
+def test_connections_idle_for_long_are_closed_but_for_one():
+    """Guards against an upstream refusing the connection that proves its leadership.
 
-    Sequence: a rush makes every daemon open its full share, and keep it; together
-    with proofs and commands that is over the upstream's limit. Cause: idle
-    connections were kept for ever.
+    If daemons kept their full shares after a load peak, these and the connections for
+    proofs and commands would exceed the upstream's limit.
     """
 
     async def main():
@@ -212,12 +210,11 @@
 
 
 def test_a_connection_beyond_the_limit_keeps_no_workspace_out():
-    """Symptom: statements of a workspace wait until their deadline beside idle
-    connections.
+    """Guards against statements that time out next to idle connections.
 
-    Sequence: the pool is full, a proof opens one connection more; all are idle, and
-    none belongs to the workspace that comes. Cause: one gave way only at the limit, and
-    the pool was beyond it.
+    An urgent caller has opened one connection beyond the limit, all are idle, and none
+    belongs to the requesting workspace. Evicting one when exactly at the limit is not
+    enough.
     """
 
     async def main():
@@ -235,11 +232,10 @@
 
 
 def test_a_busy_workspace_does_not_starve_the_others():
-    """Symptom: one workspace's statements wait for a connection until their deadline.
+    """Guards against a workspace whose statements wait until their deadline.
 
-    Sequence: many callers of another one use the connections in turn; each that comes
-    back is taken at once by the next of them. Cause: whoever came just then went before
-    those that waited.
+    Callers of a busy workspace release and acquire connections continuously. If a new
+    request went before waiting ones, each released connection would go back to them.
     """
 
     async def main():
@@ -263,8 +259,8 @@
     run(main())
 
 
-def test_who_can_not_be_served_holds_nobody_up():
-    """A workspace that waits for a dial that is put off keeps no connection idle."""
+def test_a_waiter_that_can_not_be_served_blocks_no_other():
+    """A workspace that waits during the dial backoff keeps no connection idle."""
 
     async def main():
         pool, group, _ = make_pool(limit=3)
@@ -281,11 +277,11 @@
     run(main())
 
 
-def test_after_its_start_a_daemon_is_content_with_the_least():
-    """Symptom: after a power loss of all daemons some find no leader for seconds.
+def test_a_daemon_opens_few_connections_after_its_start():
+    """Guards against daemons that find no leader for seconds after they all lost power.
 
-    Sequence: the upstreams still count lost connections; the daemons that are back
-    first open their full shares, the last are refused. Cause: the full share at once.
+    The upstreams still count the lost connections. If the first daemons to return
+    opened their full shares at once, the last would be refused.
     """
 
     async def main():
--- a/tests/sessions/test_recorder.py
+++ b/tests/sessions/test_recorder.py
@@ -1,4 +1,4 @@
-"""The record of members: written once a change, used at a start with a broken list."""
+"""The record of members: written once per change, used when the list is partial."""
 
 import asyncio
 from dataclasses import replace
@@ -17,14 +17,14 @@
 
 
 def start_recording(rig):
-    """All daemons keep records, and there is none yet."""
+    """Let all daemons keep records, starting with none."""
     for proxy in rig.proxies:
         proxy.recorder.recorded.clear()
         proxy.keep_running(proxy.keep_records)
 
 
 async def wait_checks(count):
-    """Let that many looks pass, and a bit."""
+    """Let that many checks pass, with a margin."""
     await asyncio.sleep((count + 2.5) * CHECK_INTERVAL)
 
 
@@ -82,12 +82,11 @@
     run(main())
 
 
-def test_suspended_time_does_not_make_a_list_whole():
-    """Symptom: as below, and the record itself lacks members.
+def test_suspended_time_does_not_make_a_list_complete():
+    """Guards against a first record that lacks members.
 
-    Sequence: a group's first record is due in three seconds, the daemon is suspended
-    that long and goes on with the list that it had. Cause: time was measured on the
-    clock that counts suspended time.
+    It is due three seconds after the start. A daemon that is suspended for that long
+    continues with an old list, so suspended time must not count.
     """
 
     async def main():
@@ -102,7 +101,7 @@
 
 
 def start_with_partial_list(rig, listed):
-    """A daemon that starts while the list has only some members."""
+    """Start a daemon while only some members are listed."""
     proxy = rig.make_proxy("late", ["late"], rig.proxy.tuning, 1)
     for name in list(proxy.roster.members):
         del proxy.roster.members[name]
@@ -115,12 +114,12 @@
 
 
 def test_a_daemon_that_starts_with_a_part_of_the_list_promotes_nobody():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+    """Guards against an acknowledged commit lost by a promotion.
 
-    Sequence: the store was away, leases ran out, all daemons lost power; the store is
-    back and lists one replica, which is behind; the primary and the other replica are
-    listed a second later, but the first has been promoted. Cause: a daemon that knew of
-    no other member took what was listed for the whole group.
+    Leases expire while the store is down and all daemons lose power. The store comes
+    back with one replica listed, which lags; the primary and the other replica are
+    listed a second later. A daemon without the record would take that replica for the
+    whole group.
     """
 
     async def main():
@@ -144,8 +143,10 @@
 
 
 def test_members_that_are_only_on_record_run_reads_and_confirm_nothing():
-    """The counterpart: what is on record is used; but a takeover that reads the list
-    now does not see it, so that commits wait until the replicas are listed again.
+    """Members on record serve reads, but can't confirm commits.
+
+    A takeover that reads the list now does not see them, so commits wait until the
+    replicas are listed again.
     """
 
     async def main():
@@ -191,7 +192,7 @@
 
 
 def test_a_record_that_the_store_lost_is_written_again():
-    """Guards against a start that takes a part of a group for the whole of it."""
+    """Guards against a start that takes some members for the whole group."""
 
     async def main():
         rig = Rig(daemons=3)
--- a/tests/sessions/test_roster.py
+++ b/tests/sessions/test_roster.py
@@ -1,4 +1,4 @@
-"""Members come, leave and vanish from the list."""
+"""Members that join, leave and vanish from the list."""
 
 from gypsum_policy.revisions import in_era
 from gypsum_sessions.upstreams.roster import Member, Roster
@@ -32,32 +32,32 @@
     return Roster(clock=clock, missing_checks=10), clock
 
 
-def look(roster, times):
-    """That many looks; the members that were dropped in them."""
-    return [item.id for _ in range(times) for item in roster.expire()]
+def run_checks(roster, count):
+    """Run that many checks; returns the members dropped in them."""
+    return [item.id for _ in range(count) for item in roster.expire()]
 
 
 def test_a_vanished_entry_is_kept_for_its_grace():
-    """Symptom: all upstreams are gone after an outage of the store.
+    """Guards against losing all upstreams after an outage of the store.
 
-    Sequence: the store is down, the entries' leases run out, the store is back and
-    lists nobody; a second later the entries return. Cause: the list was believed.
+    The entries' leases expire during the outage; the store comes back with an empty
+    list, and the entries return a second later.
     """
     roster, clock = make_roster()
     roster.update(member("a"))
     roster.replace_all([])
-    assert look(roster, 8) == []
+    assert run_checks(roster, 8) == []
     assert roster.of_group("g")[0].missing_since == 100.0
     roster.update(member("a"))
-    assert look(roster, 40) == []
+    assert run_checks(roster, 40) == []
 
 
 def test_an_entry_that_stays_away_is_dropped():
     roster, clock = make_roster()
     roster.update(member("a"))
     roster.mark_missing("a")
-    assert look(roster, 9) == []
-    assert look(roster, 1) == ["a"]
+    assert run_checks(roster, 9) == []
+    assert run_checks(roster, 1) == ["a"]
     assert roster.of_group("g") == []
 
 
@@ -65,25 +65,24 @@
     roster, _ = make_roster()
     roster.update(member("a"))
     roster.mark_missing("a")
-    look(roster, 8)
+    run_checks(roster, 8)
     roster.update(member("a"))
-    look(roster, 1)
+    run_checks(roster, 1)
     roster.mark_missing("a")
-    assert look(roster, 9) == []
+    assert run_checks(roster, 9) == []
 
 
 def test_suspended_time_is_no_grace():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+    """Guards against an acknowledged commit lost by a promotion.
 
-    Sequence: entries vanish from the list, the daemon is suspended for longer than
-    their grace, goes on, and takes what is left for the whole group. Cause: the grace
-    was measured in time that counts suspension.
+    Entries vanish and the daemon is suspended for longer than their grace period. If
+    the time counted, it would take the remaining members for the whole group.
     """
     roster, clock = make_roster()
     roster.update(member("a"))
     roster.mark_missing("a")
     clock.now += 60.0
-    assert look(roster, 9) == []
+    assert run_checks(roster, 9) == []
 
 
 def test_leaving_counts_from_the_first_time_it_was_seen():
@@ -105,11 +104,11 @@
 
 
 def test_an_entry_that_was_lost_and_is_back_is_a_new_one():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+    """Guards against an acknowledged commit lost by a promotion.
 
-    Sequence: the store loses a member's entry, a takeover reads the list, the entry is
-    back; a commit is proved by that member, which the takeover has not paused. Cause: a
-    daemon that had seen the first entry took the member for one known to the takeover.
+    The store loses a member's entry, a takeover reads the list, the entry returns. The
+    takeover has not paused that member, so a commit confirmed by it can be lost. The
+    member must not count as known to the takeover because its first entry was seen.
     """
     roster, clock = make_roster()
     roster.update(member("a", joined=7))
@@ -120,7 +119,7 @@
 
 
 def test_a_member_that_leaves_still_does_after_the_store_returned_from_a_copy():
-    """Guards against new work for a member whose word that it leaves was lost."""
+    """Guards against new work for a leaving member whose report the backup lacks."""
     roster, _ = make_roster()
     roster.update(member("a", leaving=True, changed=in_era(1, 9)))
     assert roster.update(member("a", changed=in_era(2, 7))).leaving_since == 100.0
