--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -49,8 +49,8 @@
     """Replicas apply 150 ms late; seconds that a commit takes."""
 
     async def main():
-        rig = await test_lagging.lagging_rig()
-        times = await test_lagging.times_of(rig, "WRITE a", 20)
+        rig = await test_lagging.make_lagging_rig()
+        times = await test_lagging.measure(rig, "WRITE a", 20)
         return sum(times[5:]) / len(times[5:])
 
     return run(main())
