--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -20,7 +20,7 @@
         self.proxy = proxy
         self.groups = {}
         self.takeovers = {}
-        self.reaches = {}
+        self.peer_reachability = {}
         self.tasks = {}
         self.requested_at = {}
         # Number of daemons at the last check, when it last grew, and when the list of
@@ -69,7 +69,9 @@
             return group
         group = Group(spec=spec, context=self.proxy.context)
         self.groups[spec.name] = group
-        reach = self.reaches[spec.name] = Reach(group=group, peers=self.proxy.peers)
+        reach = self.peer_reachability[spec.name] = Reach(
+            group=group, peers=self.proxy.peers
+        )
         self.takeovers[spec.name] = Takeover(
             group=group,
             daemon=self.proxy.name,
@@ -104,7 +106,7 @@
             task.cancel()
         self.groups.pop(name).close()
         del self.takeovers[name]
-        del self.reaches[name]
+        del self.peer_reachability[name]
         self.proxy.log(PART, "group released", group=name)
 
     def start_for_peer(self, name):
@@ -126,7 +128,7 @@
             return None
         if self.proxy.daemons.owns(spec):
             group = self.start(spec)
-            return LocalAccess(group=group, reach=self.reaches[name])
+            return LocalAccess(group=group, reach=self.peer_reachability[name])
         return RemoteAccess(
             spec=spec, context=self.proxy.context, peers=self.proxy.peers
         )
