--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -49,8 +49,8 @@
     """Replicas apply 150 ms late; seconds that a commit takes."""
 
     async def main():
-        rig = await test_lagging.lagging_rig()
-        times = await test_lagging.times_of(rig, "WRITE a", 20)
+        rig = await test_lagging.make_lagging_rig()
+        times = await test_lagging.measure(rig, "WRITE a", 20)
         return sum(times[5:]) / len(times[5:])
 
     return run(main())
@@ -64,7 +64,7 @@
         await rig.settle()
         told, proxy = [], rig.proxies[0]
         rig.cut(proxy, "u1")
-        rig.loop.call_later(6.0, proxy.around.dialer.dialer.cut.clear)
+        rig.loop.call_later(6.0, proxy.context.dialer.dialer.cut.clear)
         await write_for(rig, proxy, 6.0, told)
         return len([1 for _, refusal, _ in told if refusal is None]) / 6.0
 
@@ -237,7 +237,7 @@
     "modest start": lambda: without(*tuned(modest_for=0.0)),
     "closing of idle connections": lambda: without(*tuned(idle_limit=NEVER)),
     "trial of connections before writes": lambda: without(
-        (writes, "take_live", untried)
+        (writes, "acquire_verified", untried)
     ),
 }
 
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -1,10 +1,10 @@
-"""Whether a commit is where a takeover would find it.
+"""Check that a commit would survive a takeover.
 
-A primary acknowledges a commit once any replica has it. A takeover pauses the
-replicas that the list names. A replica that joins in between is named by nobody yet:
-a primary that is being replaced acknowledges through it what the new one will not
-have. So a commit is passed on as done once a replica that every takeover under way
-knows has it, and work is turned away while no such replica can be asked.
+A primary acknowledges a commit once any replica has it. A takeover pauses the replicas
+that are listed. A replica that joins later is unknown to the takeover: a primary that
+is being replaced may acknowledge, through that replica, commits that the new primary
+will not have. So a commit is reported as done only once a replica has it that every
+takeover under way knows. Work is refused while no such replica can be asked.
 """
 
 import asyncio
@@ -12,64 +12,63 @@
 
 from gypsum_sessions.replies import Refusal, UpstreamError
 from gypsum_sessions.statements import BEGIN_READING, ROLLBACK, STATUS
-from gypsum_sessions.upstreams.upstream import is_ours
+from gypsum_sessions.upstreams.upstream import is_connection_shortage
 
 PART = "confirm"
 
 
 class Evidence(StrEnum):
-    """What the replicas say of a position."""
+    """The replicas' answers about a position, combined."""
 
     HELD = "held"
     LACKING = "lacking"
     UNKNOWN = "unknown"
 
 
-async def is_safe(group, position, leader, *, patience):
-    """Tell whether a commit at a position may be passed on as done.
+async def is_confirmed(group, position, leader, *, timeout):
+    """Tell whether a commit at a position may be reported as done.
 
-    The replicas are asked again for `patience` seconds: one may be behind for a moment,
-    or all our connections to it in use.
+    Replicas are queried again until `timeout` seconds have passed: one may lag for a
+    moment, or all of this daemon's connections to it may be in use.
     """
     if not group.spec.sync_replicas:
         return True
-    around = group.around
-    until = around.clock() + patience
+    context = group.context
+    until = context.clock() + timeout
     evidence = Evidence.UNKNOWN
     while position is not None:
         evidence = await find_evidence(group, position, leader)
         if evidence is Evidence.HELD:
             return True
-        if around.clock() + around.tuning.confirm_again >= until:
+        if context.clock() + context.tuning.confirm_again >= until:
             break
-        await asyncio.sleep(around.tuning.confirm_again)
-    around.log(
+        await asyncio.sleep(context.tuning.confirm_again)
+    context.log(
         PART,
         "commit not confirmed",
         group=group.name,
         position=str(position or ""),
         evidence=str(evidence),
-        takeover=group.takeover_under_way(),
+        takeover=group.takeover_in_progress(),
     )
     return False
 
 
-async def can_confirm(group, leader, *, patience):
-    """Tell whether a commit could be confirmed; asks silent replicas once more.
+async def can_confirm(group, leader, *, timeout):
+    """Tell whether a commit could be confirmed; queries unreachable replicas once more.
 
-    What goes wrong without it: a daemon that is cut off from the replicas goes on
-    writing, and has to tell each caller that the outcome is not known. Turned away,
-    the callers come back at another daemon. While no replica is listed, or none that
-    all takeovers know, another daemon is no better: that is waited for, for `patience`
-    seconds at most.
+    Otherwise a daemon that is cut off from the replicas would go on writing and report
+    each outcome as unknown. Refused callers can go to another daemon. If no replica is
+    listed that all takeovers know, other daemons can't confirm commits either, so this
+    waits up to `timeout` seconds for one.
     """
     if not group.spec.sync_replicas:
         return True
-    until = group.around.clock() + patience
-    while not known_replicas(group, leader) and group.around.clock() < until:
-        await asyncio.sleep(group.around.tuning.confirm_for)
+    until = group.context.clock() + timeout
+    while not known_replicas(group, leader) and group.context.clock() < until:
+        await asyncio.sleep(group.context.tuning.confirm_for)
     replicas = known_replicas(group, leader)
-    if any(item.askable for item in replicas):
+    if any(item.reachable for item in replicas):
         return True
     found = await gather_evidence(
         group, replicas, lambda item: ask_one(group, item, None, ask_alive)
@@ -78,25 +77,25 @@
 
 
 async def find_evidence(group, position, leader):
-    """Ask the replicas that any takeover knows of, until one has the position.
+    """Query the replicas that all takeovers know, until one has the position.
 
-    Asking whether a position is applied costs an upstream nothing, asking what it has
-    received takes a slot: so the second is asked only of those that lag, at once where
-    they were seen to.
+    Asking whether a position is applied costs an upstream nothing; asking what it has
+    received takes a slot. So only lagging replicas are asked the latter, at once if
+    they were known to lag.
     """
-    tuning = group.around.tuning
+    tuning = group.context.tuning
     replicas = known_replicas(group, leader)
-    until = group.around.clock() + tuning.confirm_for
-    quick = [item for item in replicas if item.lag < tuning.confirm_for]
+    until = group.context.clock() + tuning.confirm_for
+    low_lag = [item for item in replicas if item.apply_lag < tuning.confirm_for]
     found = await gather_evidence(
-        group, quick, lambda item: poll_applied(group, item, position, until)
+        group, low_lag, lambda item: poll_applied(group, item, position, until)
     )
     if Evidence.HELD in found.values():
         return Evidence.HELD
     lagging = [
         item for item in replicas if found.get(item.id) in (None, Evidence.LACKING)
     ]
-    found |= await ask_in_turn(group, lagging, position)
+    found |= await ask_received_hedged(group, lagging, position)
     if Evidence.HELD in found.values():
         return Evidence.HELD
     found = found.values()
@@ -104,13 +103,15 @@
     return Evidence.UNKNOWN if unknown else Evidence.LACKING
 
 
-async def ask_in_turn(group, replicas, position):
-    """Ask what replicas have received, the least loaded first, then the others.
+async def ask_received_hedged(group, replicas, position):
+    """Ask replicas what they have received, the least loaded first, then the others.
 
-    What goes wrong when all are asked at once: every commit takes a slot of each.
+    Asking all at once would take a slot of each replica for every commit.
     """
-    ranked = sorted(replicas, key=lambda item: (item.turns.queue.load, item.mean))
-    pause = group.around.tuning.confirm_hedge
+    ranked = sorted(
+        replicas, key=lambda item: (item.admission.queue.load, item.mean_time)
+    )
+    pause = group.context.tuning.confirm_hedge
     found = []
 
     async def ask_after(item):
@@ -124,33 +125,33 @@
 
 
 def known_replicas(group, leader):
-    """Replicas whose word counts: known to any takeover under way, and staying.
+    """Replicas that count as evidence: known to all takeovers under way, not leaving.
 
-    The log of one that leaves goes with it: a commit that only it has is lost with the
-    primary. Where all leave, their word is better than none. One that is not listed
-    now may be unknown to a takeover that reads the list now.
+    The log of a leaving replica goes with it: a commit that only it has is lost with
+    the primary. If all replicas leave, they count all the same. A replica that is not
+    listed now may be unknown to a takeover that reads the list now.
     """
-    board = group.around.board
+    lease_view = group.context.lease_view
     known = [
         item
         for item in group.upstreams.values()
         if item.id != leader
         and item.member.missing_since is None
-        and board.knows(group.name, item.member.joined)
+        and lease_view.knows(group.name, item.member.joined)
     ]
-    staying = [item for item in known if item.member.stays]
+    staying = [item for item in known if item.member.active]
     return staying or known
 
 
-async def gather_evidence(group, replicas, question):
-    """What each replica says, by id; ends with the first that has the position.
+async def gather_evidence(group, replicas, query):
+    """The answer of each replica by id; ends with the first that has the position.
 
-    One that is silent is not waited for beyond the time of an ordinary answer: after
-    a failover the old primary is, and every commit would wait for it.
+    Waits no longer than an ordinary answer takes: after a failover the old primary does
+    not answer, and every commit would wait for it.
     """
-    tasks = {asyncio.create_task(question(item)): item.id for item in replicas}
+    tasks = {asyncio.create_task(query(item)): item.id for item in replicas}
     found = dict.fromkeys(tasks.values(), Evidence.UNKNOWN)
-    tuning, clock = group.around.tuning, group.around.clock
+    tuning, clock = group.context.tuning, group.context.clock
     until = clock() + tuning.confirm_for + tuning.confirm_margin
     pending = set(tasks)
     while pending and Evidence.HELD not in found.values():
@@ -161,47 +162,50 @@
             pending, timeout=left, return_when=asyncio.FIRST_COMPLETED
         )
         found.update({tasks[task]: task.result() for task in done})
-    group.keep_tasks(pending)
+    group.track_tasks(pending)
     return found
 
 
 async def poll_applied(group, item, position, until):
-    """Ask a replica again until it has applied the position or time is up."""
-    tuning, clock = group.around.tuning, group.around.clock
+    """Query a replica until it has applied the position or time is up."""
+    tuning, clock = group.context.tuning, group.context.clock
     if item.unreachable and clock() < item.avoid_until:
         return Evidence.UNKNOWN
-    began = clock()
+    started_at = clock()
     while True:
         found = await ask_one(group, item, position, ask_applied)
         if found is not Evidence.LACKING or clock() >= until:
             break
         await asyncio.sleep(tuning.confirm_pause)
     if found is Evidence.HELD:
-        item.applied_after(clock() - began, tuning)
+        item.record_apply_lag(clock() - started_at, tuning)
     elif found is Evidence.LACKING:
-        item.applied_after(2 * tuning.confirm_for, tuning)
+        item.record_apply_lag(2 * tuning.confirm_for, tuning)
     return found
 
 
-async def ask_one(group, item, position, question):
-    """What one replica says of a position."""
-    around = group.around
+async def ask_one(group, item, position, query):
+    """One replica's answer about a position; UNKNOWN if it gives none."""
+    context = group.context
     try:
         pooled = await item.pool.acquire(
-            values={}, timeout=around.tuning.ping_timeout, first=True, oldest=True
+            values={},
+            timeout=context.tuning.ping_timeout,
+            urgent=True,
+            prefer_oldest=True,
         )
         try:
-            if not around.board.trusts(group.name, pooled.opened_at):
+            if not context.lease_view.trusts(group.name, pooled.opened_at):
                 return Evidence.UNKNOWN
-            evidence = await question(item, pooled.conn, position, around.tuning)
+            evidence = await query(item, pooled.conn, position, context.tuning)
         finally:
             item.pool.release(pooled)
-        item.heard(around.clock())
+        item.record_response(context.clock())
         return evidence
     except UpstreamError as exc:
-        item.unreachable = item.unreachable or not is_ours(exc)
-        item.failed(exc, around.clock(), around.tuning)
-        around.log(PART, "replica not asked", upstream=item.id, error=str(exc))
+        item.unreachable = item.unreachable or not is_connection_shortage(exc)
+        item.record_failure(exc, context.clock(), context.tuning)
+        context.log(PART, "replica query failed", upstream=item.id, error=str(exc))
         return Evidence.UNKNOWN
 
 
@@ -221,14 +225,14 @@
 
 
 async def ask_received(item, conn, position, tuning):
-    """Whether a replica has received what it may not have applied yet."""
+    """Whether a replica has received a position that it may not have applied yet."""
     reply = await conn.ask(STATUS, timeout=tuning.ping_timeout)
     if not reply.ok:
         return Evidence.UNKNOWN
     status = conn.read_status(reply)
-    item.applied_after(status.lag_ms / 1000, tuning)
+    item.record_apply_lag(status.lag_ms / 1000, tuning)
     received = status.received
-    # An end of another term tells nothing: the position may have been cut off there.
+    # A log end in another term proves nothing: the position may have been discarded.
     same_term = received.term == position.term
     held = same_term and received.index >= position.index
     return Evidence.HELD if held else Evidence.LACKING
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -1,4 +1,4 @@
-"""Single reads: a floor, an order of upstreams, and a second try when one is slow."""
+"""Single reads: a minimum position, an order of upstreams, and hedged attempts."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,11 +8,11 @@
 from gypsum_sessions.catalog import ReadRule
 from gypsum_sessions.replies import KEY_WITHDRAWN, Refusal, Reply, UpstreamError
 from gypsum_sessions.takeover.floors import later
-from gypsum_sessions.upstreams.pooled import bring_level
+from gypsum_sessions.upstreams.pooled import sync_session_state
 
 PART = "read"
-# Refusals that another upstream may well answer differently.
-ELSEWHERE = frozenset(
+# Refusals after which another upstream may still answer the read.
+RETRY_ELSEWHERE = frozenset(
     {
         Refusal.BUSY,
         Refusal.LAGGING,
@@ -24,15 +24,16 @@
         Refusal.READ_ONLY,
     }
 )
-# When all upstreams refused, the next round starts after this many seconds.
+# Seconds before the next round when all upstreams refused.
 ROUND_PAUSE = 0.02
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Attempt:
-    """What one upstream made of a read; `reply` is None if it gave none.
+    """The result of a read at one upstream; `reply` is None if it gave none.
 
-    `wait`: it was not asked, for its queue takes that many seconds; None if it was.
+    `wait` is set if the upstream was not asked because its queue takes that many
+    seconds.
     """
 
     upstream: str
@@ -42,95 +43,96 @@
 
     @property
     def final(self):
-        """Tell whether the caller gets this."""
-        return self.reply is not None and self.reply.refusal not in ELSEWHERE
+        """Tell whether this is the caller's reply."""
+        return self.reply is not None and self.reply.refusal not in RETRY_ELSEWHERE
 
 
 async def find_floor(group, job):
-    """Set the position that the job's read has to show; False if none is proven."""
-    around = group.around
-    wait = job.left(around.clock) * around.tuning.leader_wait_share
+    """Set the minimum position that the read must show; False if none is proven."""
+    context = group.context
+    wait = job.time_left(context.clock) * context.tuning.leader_wait_share
     floor = await group.watch.floor_since(job.arrived - job.route.max_age, wait)
     if floor is None:
         return False
-    job.floor_age = around.clock() - floor.asked_at
+    job.floor_age = context.clock() - floor.asked_at
     job.floor = later(floor.position, job.own_floor)
     return True
 
 
 async def run_read(group, job):
-    """Run a read wherever it lawfully may; returns the caller's reply."""
+    """Run a read at any upstream that may serve it; returns the caller's reply."""
     if not await find_floor(group, job):
-        return no_leader(group.around.tuning)
-    while job.left(group.around.clock) > 0:
+        return no_leader_reply(group.context.tuning)
+    while job.time_left(group.context.clock) > 0:
         if not group.candidates():
-            return no_leader(group.around.tuning)
-        attempt = await race(group, job)
+            return no_leader_reply(group.context.tuning)
+        attempt = await run_round(group, job)
         if attempt is not None and attempt.final:
             job.served_by = attempt.upstream
             return attempt.reply
         if attempt is not None and attempt.wait is not None:
-            return overloaded(job, attempt.wait)
+            return overloaded_reply(job, attempt.wait)
         await asyncio.sleep(ROUND_PAUSE)
     return Reply(refusal=Refusal.TIMEOUT, detail="no upstream answered in time")
 
 
-async def race(group, job):
-    """One round over the upstreams: the next is asked when one refuses or is slow.
+async def run_round(group, job):
+    """One round over the upstreams: the next is asked if one refuses or is slow.
 
-    Returns the first final attempt, else the last one, None if there was none.
+    Returns the first final attempt, else the most useful one, None if there was none.
     """
     running = set()
     try:
-        return await run_race(group, job, running)
+        return await run_attempts(group, job, running)
     except asyncio.CancelledError:
         for task in running:
             task.cancel()
         raise
 
 
-async def run_race(group, job, running):
-    """The round; `running` holds the attempts that are under way."""
+async def run_attempts(group, job, running):
+    """Run the round; `running` holds the attempts under way."""
     order, last = upstream_order(group, job), None
     while order or running:
         if order:
-            upstream = next_upstream(group, order, must=not running)
+            upstream = next_upstream(group, order, force=not running)
             running |= start_attempt(group, job, upstream)
         if not running:
             continue
-        wait = hedge_delay(group, job) if order else job.left(group.around.clock)
+        wait = hedge_delay(group, job) if order else job.time_left(group.context.clock)
         done, _ = await asyncio.wait(
             running, timeout=wait, return_when=asyncio.FIRST_COMPLETED
         )
         running -= done
         for task in done:
-            last = better(last, task.result())
+            last = better_attempt(last, task.result())
             if last.final:
-                leave_running(group, job, running)
+                detach_attempts(group, job, running)
                 return last
-        if job.left(group.around.clock) <= 0:
+        if job.time_left(group.context.clock) <= 0:
             break
-    leave_running(group, job, running)
+    detach_attempts(group, job, running)
     return last
 
 
-def next_upstream(group, order, *, must):
+def next_upstream(group, order, *, force):
     """Take the next upstream to ask out of the order; None if it is better to wait.
 
-    What goes wrong when a slow read is asked elsewhere whatever waits there: under a
-    load that all feel, every read is run twice, and nothing is answered any more.
+    Hedging skips upstreams whose queue is full. Otherwise, when all are overloaded,
+    every read would run twice and none would be answered in time. `force` takes the
+    first.
     """
-    now = group.around.clock()
-    for upstream in order if not must else order[:1]:
+    now = group.context.clock()
+    for upstream in order if not force else order[:1]:
         item = group.upstreams.get(upstream)
-        if must or (item is not None and item.turns.queue.has_room(now)):
+        if force or (item is not None and item.admission.queue.has_room(now)):
             order.remove(upstream)
             return upstream
     return None
 
 
-def better(first, second):
-    """Of two attempts the one that says more: an answer, else a shorter queue."""
+def better_attempt(first, second):
+    """The more useful of two attempts: an answer, else the shorter queue."""
     if first is None or second.final:
         return second
     if first.wait is None:
@@ -140,29 +142,29 @@
     return min(first, second, key=lambda item: item.wait)
 
 
-def leave_running(group, job, tasks):
-    """Let attempts that are not needed any more end on their own."""
-    job.over = True
-    group.keep_tasks(tasks)
-    job.leftovers |= tasks
+def detach_attempts(group, job, tasks):
+    """Let attempts that are no longer needed end on their own."""
+    job.answered = True
+    group.track_tasks(tasks)
+    job.running_attempts |= tasks
 
 
 def start_attempt(group, job, upstream):
-    """Ask one upstream in a task of its own; no task if it is gone meanwhile."""
+    """Ask one upstream in a new task; no task if it has been removed meanwhile."""
     item = group.upstreams.get(upstream)
     if item is None:
         return set()
     job.tried.append(upstream)
     try:
-        turn = item.turns.enter(job.claim())
+        place = item.admission.enqueue(job.admission_request())
     except QueueTimeout as exc:
-        return {asyncio.create_task(give_up(item, exc))}
-    task = asyncio.create_task(attempt_read(group, job, item, turn))
-    task.add_done_callback(lambda _: turn.release())
+        return {asyncio.create_task(rejected_attempt(item, exc))}
+    task = asyncio.create_task(attempt_read(group, job, item, place))
+    task.add_done_callback(lambda _: place.release())
     return {task}
 
 
-async def give_up(item, exc):
+async def rejected_attempt(item, exc):
     """The attempt at an upstream whose queue is too long."""
     return Attempt(upstream=item.id, reply=None, detail=str(exc), wait=exc.wait)
 
@@ -170,7 +172,7 @@
 def upstream_order(group, job):
     """Upstreams in the order in which they are asked."""
     order = order_for_read(
-        group.candidates(job.workspace), far_cost=group.around.tuning.far_cost
+        group.candidates(job.workspace), far_cost=group.context.tuning.far_cost
     )
     if job.route.rule is ReadRule.PRIMARY and group.watch.leader in order:
         order.remove(group.watch.leader)
@@ -179,38 +181,38 @@
 
 
 def hedge_delay(group, job):
-    """Seconds after which a second upstream is asked as well."""
-    tuning = group.around.tuning
+    """Seconds until a further upstream is asked as well."""
+    tuning = group.context.tuning
     last = group.upstreams.get(job.tried[-1]) if job.tried else None
-    mean = last.mean if last else tuning.first_mean
+    mean = last.mean_time if last else tuning.first_mean
     delay = max(tuning.hedge_floor, tuning.hedge_factor * mean)
-    return min(delay, job.left(group.around.clock))
+    return min(delay, job.time_left(group.context.clock))
 
 
-async def attempt_read(group, job, item, turn):
-    """Ask one upstream in its turn; never raises an UpstreamError."""
+async def attempt_read(group, job, item, place):
+    """Ask one upstream once admitted; never raises an UpstreamError."""
     try:
-        async with turn:
-            if job.over:
+        async with place:
+            if job.answered:
                 return Attempt(upstream=item.id, reply=None, detail="answered before")
-            if not group.around.catalog.stands(job.credential):
-                return Attempt(upstream=item.id, reply=withdrawn())
-            return await attempt_now(group, job, item)
+            if not group.context.catalog.stands(job.credential):
+                return Attempt(upstream=item.id, reply=key_withdrawn_reply())
+            return await send_attempt(group, job, item)
     except QueueTimeout as exc:
-        return await give_up(item, exc)
+        return await rejected_attempt(item, exc)
 
 
-async def attempt_now(group, job, item):
+async def send_attempt(group, job, item):
     """Ask one upstream now."""
-    around, clock = group.around, group.around.clock
+    context, clock = group.context, group.context.clock
     try:
         pooled = await item.pool.acquire(
             values=job.values,
-            timeout=job.left(clock) or around.tuning.ping_timeout,
+            timeout=job.time_left(clock) or context.tuning.ping_timeout,
             workspace=job.workspace,
         )
     except UpstreamError as exc:
-        item.failed(exc, clock(), around.tuning)
+        item.record_failure(exc, clock(), context.tuning)
         return Attempt(upstream=item.id, reply=None, detail=str(exc))
     try:
         reply = await ask_read(group, job, item, pooled)
@@ -218,9 +220,9 @@
         pooled.conn.close()
         raise
     except UpstreamError as exc:
-        item.failed(exc, clock(), around.tuning)
+        item.record_failure(exc, clock(), context.tuning)
         group.watch.doubt(item.id)
-        around.log(
+        context.log(
             PART,
             "attempt failed",
             request=job.request,
@@ -234,48 +236,48 @@
 
 
 async def ask_read(group, job, item, pooled):
-    """Run the read on a connection and note what it tells of the upstream.
+    """Run the read on a connection and update the upstream's statistics.
 
-    None if it is not needed any more.
+    None if the read is no longer needed.
     """
-    around, clock = group.around, group.around.clock
-    await bring_level(
+    context, clock = group.context, group.context.clock
+    await sync_session_state(
         pooled,
         job.values,
         job.prepared,
-        timeout=around.tuning.command_timeout,
-        prepared_limit=around.tuning.prepared_limit,
+        timeout=context.tuning.command_timeout,
+        prepared_limit=context.tuning.prepared_limit,
     )
-    if job.over:
-        # Answered elsewhere while this attempt waited for its connection. What goes
-        # wrong when it is sent: it runs after its session's values have changed.
+    if job.answered:
+        # Answered elsewhere while this attempt waited for its connection. If it were
+        # sent, it could run after its session's values have changed.
         return None
     started = clock()
     reply = await pooled.conn.ask(
         job.statement,
-        timeout=max(job.left(clock), around.tuning.ping_timeout),
+        timeout=max(job.time_left(clock), context.tuning.ping_timeout),
         request=job.request,
         after=job.floor,
     )
     if reply.ok:
-        item.answered(clock() - started, reply.position, clock(), around.tuning)
-    note_refusal(around, item, pooled, reply)
+        item.record_answer(clock() - started, reply.position, clock(), context.tuning)
+    record_refusal(context, item, pooled, reply)
     return reply
 
 
-def note_refusal(around, item, pooled, reply):
-    """Draw conclusions from a refused read."""
+def record_refusal(context, item, pooled, reply):
+    """Update the state of the upstream and the connection after a refused read."""
     if reply.refusal is Refusal.LAGGING:
-        item.lacked(around.clock(), around.tuning)
+        item.record_behind(context.clock(), context.tuning)
     if reply.refusal is Refusal.UNKNOWN_NAME:
         pooled.dirty = True
     if reply.refusal is Refusal.BUSY:
-        item.turns.queue.record_rejection(around.clock())
+        item.admission.queue.record_rejection(context.clock())
 
 
-def overloaded(job, wait):
-    """The refusal of work that cannot be answered in time; it has not run."""
-    job.queue = wait
+def overloaded_reply(job, wait):
+    """The refusal of work that can't be answered in time; it has not run."""
+    job.queue_wait = wait
     return Reply(
         refusal=Refusal.BUSY,
         detail=f"not run, the queue takes {wait * 1000:.0f} ms",
@@ -283,12 +285,12 @@
     )
 
 
-def withdrawn():
+def key_withdrawn_reply():
     """The refusal of work whose caller's key was withdrawn while it waited."""
     return Reply(refusal=Refusal.UNKNOWN_KEY, detail=f"not run, {KEY_WITHDRAWN}")
 
 
-def no_leader(tuning):
+def no_leader_reply(tuning):
     """The refusal of work that needs a leader while there is none."""
     return Reply(
         refusal=Refusal.BUSY,
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -6,20 +6,20 @@
 
 from gypsum_policy.admission import QueueTimeout
 from gypsum_sessions.catalog import Route
-from gypsum_sessions.execution.confirm import can_confirm, is_safe
+from gypsum_sessions.execution.confirm import can_confirm, is_confirmed
 from gypsum_sessions.execution.reads import (
     find_floor,
-    no_leader,
-    overloaded,
+    key_withdrawn_reply,
+    no_leader_reply,
+    overloaded_reply,
     upstream_order,
-    withdrawn,
 )
 from gypsum_sessions.execution.writes import (
     NotSent,
-    level,
-    take_live,
-    unconfirmable,
-    unconfirmed,
+    acquire_verified,
+    cannot_confirm_reply,
+    sync_session,
+    unconfirmed_reply,
 )
 from gypsum_sessions.replies import (
     Refusal,
@@ -34,21 +34,21 @@
 from gypsum_sessions.upstreams.pooled import PooledConn, roll_back
 
 PART = "transaction"
-# Pause before a statement that the upstream's full queue turned away is sent again.
+# Seconds before a statement is resent that the upstream's full queue rejected.
 BUSY_PAUSE = 0.03
 
 
-class Withdrawn(Exception):
-    """The caller's key was withdrawn while its transaction waited to be opened."""
+class KeyWithdrawn(Exception):
+    """The caller's key was withdrawn before its transaction was opened."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Transaction:
     """A transaction of one session.
 
-    It is opened at an upstream with its first statement, not before, so that a
-    caller who pauses after BEGIN holds no connection. `arrived` is when BEGIN came:
-    what was acknowledged before then has to be seen.
+    It is opened at an upstream with its first statement, so that a caller who pauses
+    after BEGIN holds no connection. `arrived` is when BEGIN arrived: commits
+    acknowledged before that time must be visible.
     """
 
     group: Group
@@ -62,29 +62,29 @@
     values_set: bool = False
 
     async def run(self, job):
-        """Run a statement; anything but success has rolled it back."""
+        """Run a statement; if it does not succeed, the transaction is rolled back."""
         return await run_in_transaction(self.group, self, job)
 
     async def commit(self, job):
-        """Commit it; it is over either way."""
+        """Commit; the transaction ends in any case."""
         return await commit(self.group, self, job)
 
     async def close(self):
-        """Roll it back if it is open."""
+        """Roll back if the transaction is open."""
         await close(self.group, self)
 
 
 async def open_at_upstream(group, tx, job):
-    """Open the transaction; a Reply if it can't be, else None."""
+    """Open the transaction; returns a refusal if it can't be opened, else None."""
     opened = open_writing if tx.writes else open_reading
     while True:
         try:
             refused = await opened(group, tx, job)
         except QueueTimeout as exc:
-            return overloaded(job, exc.wait)
-        except Withdrawn:
-            return withdrawn()
-        if refused is None or job.left(group.around.clock) <= 0:
+            return overloaded_reply(job, exc.wait)
+        except KeyWithdrawn:
+            return key_withdrawn_reply()
+        if refused is None or job.time_left(group.context.clock) <= 0:
             return refused
         if tx.pooled is None and refused.refusal is not Refusal.LAGGING:
             return refused
@@ -93,26 +93,26 @@
 
 async def open_writing(group, tx, job):
     """BEGIN at the leader; the upstream refuses if it does not lead."""
-    around, clock = group.around, group.around.clock
-    wait_until = clock() + job.left(clock) * around.tuning.leader_wait_share
+    context, clock = group.context, group.context.clock
+    wait_until = clock() + job.time_left(clock) * context.tuning.leader_wait_share
     while clock() < wait_until:
         item = await group.wait_writable(wait_until - clock())
         if item is None:
             break
-        patience = wait_until - clock()
-        if not await can_confirm(group, item.id, patience=patience):
-            return unconfirmable(around.tuning)
+        timeout = wait_until - clock()
+        if not await can_confirm(group, item.id, timeout=timeout):
+            return cannot_confirm_reply(context.tuning)
         if await begin_at(group, tx, job, item, BEGIN_WRITING):
             return None
         group.watch.doubt(item.id)
         await asyncio.sleep(BUSY_PAUSE)
-    return no_leader(around.tuning)
+    return no_leader_reply(context.tuning)
 
 
 async def open_reading(group, tx, job):
-    """BEGIN READ at whichever upstream has the floor."""
+    """BEGIN READ at any upstream that has reached the minimum position."""
     if not await find_floor(group, job):
-        return no_leader(group.around.tuning)
+        return no_leader_reply(group.context.tuning)
     for upstream in upstream_order(group, job):
         item = group.upstreams.get(upstream)
         if item is None:
@@ -122,55 +122,55 @@
     return Reply(
         refusal=Refusal.LAGGING,
         detail="not run, no upstream has the position yet",
-        retry_after_ms=group.around.tuning.busy_retry_after_ms,
+        retry_after_ms=group.context.tuning.busy_retry_after_ms,
     )
 
 
 async def begin_at(group, tx, job, item, statement, after=None):
-    """Open the transaction at one upstream in its turn; tell whether it is open.
+    """Open the transaction at one upstream once admitted; tell whether it is open.
 
-    Raises QueueTimeout. What goes wrong when it takes a connection out of turn: rushes
-    of transactions hold all of them while what is worth more waits.
+    Raises QueueTimeout. Without admission, bursts of transactions would hold all
+    connections while statements of higher priority wait.
     """
     job.tried.append(item.id)
-    async with item.turns.enter(job.claim()):
-        if not group.around.catalog.stands(job.credential):
-            raise Withdrawn
-        return await begin_now(group, tx, job, item, statement, after)
+    async with item.admission.enqueue(job.admission_request()):
+        if not group.context.catalog.stands(job.credential):
+            raise KeyWithdrawn
+        return await send_begin(group, tx, job, item, statement, after)
 
 
-async def begin_now(group, tx, job, item, statement, after):
+async def send_begin(group, tx, job, item, statement, after):
     """Open the transaction at one upstream; tell whether it is open."""
-    around, clock = group.around, group.around.clock
+    context, clock = group.context, group.context.clock
     try:
-        pooled = await take_live(group, item, job)
+        pooled = await acquire_verified(group, item, job)
     except NotSent as exc:
-        item.failed(exc.__cause__, clock(), around.tuning)
-        around.log(PART, "not begun", request=job.request, error=str(exc))
+        item.record_failure(exc.__cause__, clock(), context.tuning)
+        context.log(PART, "not begun", request=job.request, error=str(exc))
         return False
     try:
-        await level(group, job, pooled)
+        await sync_session(group, job, pooled)
         pooled.in_transaction = True
         reply = await pooled.conn.ask(
-            statement, timeout=around.tuning.command_timeout, after=after
+            statement, timeout=context.tuning.command_timeout, after=after
         )
     except UpstreamError as exc:
-        item.failed(exc, clock(), around.tuning)
+        item.record_failure(exc, clock(), context.tuning)
         pooled.conn.close()
         item.pool.release(pooled)
-        around.log(PART, "not begun", request=job.request, error=str(exc))
+        context.log(PART, "not begun", request=job.request, error=str(exc))
         return False
     if reply.ok:
         tx.pooled, tx.pool, tx.upstream = pooled, item.pool, item.id
         return True
     if reply.refusal is Refusal.LAGGING:
-        item.lacked(clock(), around.tuning)
-    await finish(group, item.pool, pooled)
+        item.record_behind(clock(), context.tuning)
+    await roll_back_and_release(group, item.pool, pooled)
     return False
 
 
 async def run_in_transaction(group, tx, job):
-    """Run a statement; anything but success ends the transaction, rolled back."""
+    """Run a statement; if it does not succeed, the transaction is rolled back."""
     if tx.pooled is None:
         refused = await open_at_upstream(group, tx, job)
         if refused is not None:
@@ -178,44 +178,44 @@
     job.tried, job.served_by = [tx.upstream], tx.upstream
     tx.wrote = tx.wrote or job.statement.writes
     try:
-        await level(group, job, tx.pooled)
-        async with joined(group, tx):
-            reply = await ask_until_run(group, tx, job)
+        await sync_session(group, job, tx.pooled)
+        async with count_statement(group, tx):
+            reply = await send_until_accepted(group, tx, job)
     except UpstreamError as exc:
         group.watch.doubt(tx.upstream)
         await abandon(group, tx)
-        return aborted(str(exc))
+        return aborted_reply(str(exc))
     if reply.ok and reply.state is SessionState.IN_TRANSACTION:
         return reply
     await close(group, tx)
     if reply.refusal is Refusal.READ_ONLY:
         group.watch.doubt(tx.upstream)
-    return aborted(f"{reply.refusal} {reply.detail}")
+    return aborted_reply(f"{reply.refusal} {reply.detail}")
 
 
-def joined(group, tx):
-    """Count a statement at its upstream; it does not wait for a turn.
+def count_statement(group, tx):
+    """Count a statement at its upstream; it does not wait for admission.
 
-    What goes wrong when it does: a transaction holds its connection, and at the leader
-    what others wait for, longer than it has to.
+    If it did, the transaction would hold its connection longer than necessary, and at
+    the leader also what other statements wait for.
     """
     item = group.upstreams.get(tx.upstream)
-    return item.turns.joined() if item is not None else nullcontext()
+    return item.admission.unqueued() if item is not None else nullcontext()
 
 
-async def ask_until_run(group, tx, job):
-    """Send a statement, again while the upstream's queue is full."""
-    clock = group.around.clock
+async def send_until_accepted(group, tx, job):
+    """Send a statement, and resend it while the upstream's queue is full."""
+    clock = group.context.clock
     while True:
         started = clock()
         reply = await tx.pooled.conn.ask(
-            job.statement, timeout=job.left(clock), request=job.request
+            job.statement, timeout=job.time_left(clock), request=job.request
         )
         if reply.ok:
             item = group.upstreams.get(tx.upstream)
             if item is not None:
-                item.answered(
-                    clock() - started, reply.position, clock(), group.around.tuning
+                item.record_answer(
+                    clock() - started, reply.position, clock(), group.context.tuning
                 )
             return reply
         open_still = reply.state is SessionState.IN_TRANSACTION
@@ -223,36 +223,38 @@
             return reply
         item = group.upstreams.get(tx.upstream)
         if item is not None:
-            item.turns.queue.record_rejection(clock())
-        if job.left(clock) <= 2 * BUSY_PAUSE:
+            item.admission.queue.record_rejection(clock())
+        if job.time_left(clock) <= 2 * BUSY_PAUSE:
             return reply
         await asyncio.sleep(BUSY_PAUSE)
 
 
 async def commit(group, tx, job):
-    """COMMIT; the reply says whether it is kept, is not, or is in doubt."""
+    """COMMIT; the reply says whether it is kept, rolled back or in doubt."""
     if tx.pooled is None:
         refused = await open_at_upstream(group, tx, job)
         if refused is not None:
             return refused
     job.tried, job.served_by = [tx.upstream], tx.upstream
-    patience = job.left(group.around.clock) * group.around.tuning.leader_wait_share
-    if tx.wrote and not await can_confirm(group, tx.upstream, patience=patience):
+    timeout = (
+        job.time_left(group.context.clock) * group.context.tuning.leader_wait_share
+    )
+    if tx.wrote and not await can_confirm(group, tx.upstream, timeout=timeout):
         await close(group, tx)
-        return aborted("no replica can be asked")
-    asked_at = group.around.clock()
-    number = group.stall.begin(asked_at) if tx.wrote else 0
+        return aborted_reply("no replica can be asked")
+    asked_at = group.context.clock()
+    stall_id = group.stall.begin(asked_at) if tx.wrote else 0
     try:
-        async with joined(group, tx):
-            reply = await ask_until_run(group, tx, job)
-        if number:
-            group.stall.end(number, group.around.clock())
+        async with count_statement(group, tx):
+            reply = await send_until_accepted(group, tx, job)
+        if stall_id:
+            group.stall.end(stall_id, group.context.clock())
     except UpstreamError as exc:
         group.watch.doubt(tx.upstream)
         await abandon(group, tx)
-        group.around.log(
+        group.context.log(
             PART,
-            "commit unanswered",
+            "no answer to commit",
             request=job.request,
             upstream=tx.upstream,
             wrote=tx.wrote,
@@ -260,16 +262,16 @@
         )
         not_sent = isinstance(exc, UpstreamLost) and not exc.sent
         if not_sent or not tx.wrote:
-            return aborted(str(exc))
+            return aborted_reply(str(exc))
         return Reply(refusal=Refusal.IN_DOUBT, detail=f"may be committed, {exc}")
     tx.pooled.in_transaction = reply.state is not SessionState.IDLE
     await close(group, tx)
     if reply.ok:
         if not tx.wrote:
             return reply
-        left = job.left(group.around.clock)
-        if not await is_safe(group, reply.position, tx.upstream, patience=left):
-            return unconfirmed()
+        left = job.time_left(group.context.clock)
+        if not await is_confirmed(group, reply.position, tx.upstream, timeout=left):
+            return unconfirmed_reply()
         if reply.position is not None:
             group.floors.learn(reply.position, asked_at)
         return reply
@@ -278,20 +280,20 @@
 
 
 def refused_commit(tx, reply):
-    """What the caller is told of a COMMIT that the upstream answered with an error."""
+    """The reply for a COMMIT that the upstream answered with an error."""
     unclear = reply.refusal in (Refusal.FAILED, Refusal.TIMEOUT, Refusal.IN_DOUBT)
     if unclear and tx.wrote:
         return Reply(refusal=Refusal.IN_DOUBT, detail=f"commit {reply.refusal}")
-    return aborted(f"commit {reply.refusal} {reply.detail}")
+    return aborted_reply(f"commit {reply.refusal} {reply.detail}")
 
 
-def aborted(detail):
-    """Nothing of the transaction is kept: no COMMIT was sent, or it was refused."""
+def aborted_reply(detail):
+    """Nothing of the transaction is kept: COMMIT was not sent, or was refused."""
     return Reply(refusal=Refusal.ABORTED, detail=f"rolled back, {detail}")
 
 
 async def abandon(group, tx):
-    """Close the connection: that rolls back, whatever state it is in."""
+    """Close the connection, which rolls back in any state."""
     if tx.pooled is None:
         return
     tx.pooled.conn.close()
@@ -299,23 +301,23 @@
 
 
 async def close(group, tx):
-    """Give the connection back, rolled back if anything is open on it."""
+    """Release the connection, rolled back if a transaction is open on it."""
     pooled, tx.pooled = tx.pooled, None
     if pooled is None:
         return
     if tx.values_set:
         pooled.dirty = True
-    await finish(group, tx.pool, pooled)
+    await roll_back_and_release(group, tx.pool, pooled)
 
 
-async def finish(group, pool, pooled):
-    """Roll back if needed, then release."""
+async def roll_back_and_release(group, pool, pooled):
+    """Roll back if needed, then release the connection."""
     try:
         if pooled.alive and pooled.in_transaction:
-            await roll_back(pooled, group.around.tuning.command_timeout)
+            await roll_back(pooled, group.context.tuning.command_timeout)
     except UpstreamError as exc:
-        group.around.log(
-            PART, "rollback unanswered", upstream=pooled.upstream, error=str(exc)
+        group.context.log(
+            PART, "no answer to rollback", upstream=pooled.upstream, error=str(exc)
         )
     finally:
         pool.release(pooled)
--- a/packages/sessions/gypsum_sessions/measures.py
+++ b/packages/sessions/gypsum_sessions/measures.py
@@ -120,12 +120,12 @@
         for group in proxy.groups.values():
             for item in group.upstreams.values():
                 labels = {"group": group.name, "upstream": item.id}
-                self.upstreams.set({**labels, "what": "open"}, item.pool.opened)
+                self.upstreams.set({**labels, "what": "open"}, item.pool.open_count)
                 self.upstreams.set({**labels, "what": "in_use"}, item.pool.in_use)
                 self.upstreams.set({**labels, "what": "dials"}, item.pool.dials)
                 displaced = item.pool.displaced
                 self.upstreams.set({**labels, "what": "displaced"}, displaced)
-                self.upstreams.set({**labels, "what": "mean_seconds"}, item.mean)
+                self.upstreams.set({**labels, "what": "mean_seconds"}, item.mean_time)
 
     def take_usage(self, usage):
         """Refresh what became of the operations of workspaces that have a cap."""
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -17,9 +17,9 @@
 from gypsum_sessions.daemons.warmlinks import WarmLinks
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
 from gypsum_sessions.takeover.leaseboard import LeaseBoard
-from gypsum_sessions.upstreams.group import Surroundings
-from gypsum_sessions.upstreams.hosting import Hosting
-from gypsum_sessions.upstreams.recorder import LOOK_EVERY, MemberRecorder
+from gypsum_sessions.upstreams.group import GroupContext
+from gypsum_sessions.upstreams.hosting import HostedGroups
+from gypsum_sessions.upstreams.recorder import CHECK_INTERVAL, MemberRecorder
 from gypsum_sessions.upstreams.roster import Roster
 
 PART = "proxy"
@@ -89,11 +89,11 @@
         own = DaemonEntry(id=name, domain=domain, link=link_address)
         self.daemons = Daemons(own=own, all_watch_up_to=all_watch_up_to)
         self.roster = Roster(
-            clock=clock, missing_looks=round(tuning.missing_grace / TEND_EVERY)
+            clock=clock, missing_checks=round(tuning.missing_grace / TEND_EVERY)
         )
         self.recorder = MemberRecorder(records=records, log=log)
         self.board = LeaseBoard(clock=clock, rest=tuning.settled_after)
-        self.around = Surroundings(
+        self.context = GroupContext(
             clock=clock,
             dialer=CheckingDialer(dialer=dialer, replaced=self.member_replaced),
             tuning=tuning,
@@ -103,7 +103,7 @@
             started_at=clock(),
             catalog=self.catalog,
             daemons=self.daemons,
-            board=self.board,
+            lease_view=self.board,
         )
         self.peers = Peers(dialer=links, daemons=self.daemons, clock=clock, log=log)
         self.relay = Relay(
@@ -127,7 +127,7 @@
         )
         self.desks = set()
         self.awake_at = clock()
-        self.hosting = Hosting(proxy=self)
+        self.hosting = HostedGroups(proxy=self)
         self.groups = self.hosting.groups
         self.takeovers = self.hosting.takeovers
         self.sessions = {}
@@ -172,7 +172,7 @@
         for name, group in self.groups.items():
             group.spec = candidate.groups.get(name, group.spec)
         self.end_withdrawn()
-        self.hosting.tend()
+        self.hosting.reconcile()
 
     def end_withdrawn(self):
         """End the sessions whose key counts no more under the version in force.
@@ -207,7 +207,7 @@
         """Take in the whole list of daemons."""
         self.daemons.take_all(entries)
         self.usage.list_changed()
-        self.hosting.tend()
+        self.hosting.reconcile()
 
     def take_daemon(self, entry):
         """A daemon registered, or changed its entry; groups are tended to soon."""
@@ -242,7 +242,7 @@
 
     def take_member(self, member):
         """Take in one changed upstream."""
-        kept = self.roster.seen(member)
+        kept = self.roster.update(member)
         if kept is None:
             self.log(PART, "entry of an earlier start ignored", upstream=member.id)
             return
@@ -264,14 +264,14 @@
         daemon that has just started finds no primary among them and promotes one,
         while the primary and another replica are about to be listed again.
         """
-        self.recorder.note(group, members)
-        self.roster.recall(members)
+        self.recorder.set_recorded(group, members)
+        self.roster.add_recorded(members)
         self.refresh_members(group)
 
     def drop_member(self, name):
         """An upstream's entry vanished from the list, or became unusable."""
         self.log(PART, "upstream not listed any more", upstream=name)
-        self.roster.gone(name)
+        self.roster.mark_missing(name)
         for name in self.groups:
             self.refresh_members(name)
 
@@ -289,7 +289,7 @@
         """Hand a group its members as the roster has them."""
         group = self.groups.get(name)
         if group is not None:
-            group.take_members(self.roster.of_group(name))
+            group.update_members(self.roster.of_group(name))
 
     # Sessions
 
@@ -396,9 +396,9 @@
                 self.refresh_members(member.group)
             self.drop_missing()
             await self.end_idle_transactions()
-            self.hosting.tend()
+            self.hosting.reconcile()
             for group in self.groups.values():
-                group.trim()
+                group.adjust_connections()
 
     async def keep_leases_known(self):
         """Read the leases anew when members are listed that are newer, for ever.
@@ -430,12 +430,12 @@
     async def keep_records(self):
         """Keep the groups' members on record, for ever."""
         while True:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(CHECK_INTERVAL)
             if self.board.known_to < 0:
                 continue
             for name, group in list(self.groups.items()):
                 place = self.takeovers[name].place()
-                await self.recorder.look(name, group.members(), place)
+                await self.recorder.check(name, group.members(), place)
 
     async def end_idle_transactions(self):
         """Roll back transactions whose callers have been silent for too long."""
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -87,7 +87,7 @@
         since = self.leaderless_since
         if self.leader or since is None or now - since < UNREACHABLE_AFTER:
             return False
-        return is_partitioned([item.heard_at for item in items], now)
+        return is_partitioned([item.last_response_at for item in items], now)
 
     async def wait_change(self, timeout):
         """Wait until the leader is found or lost."""
@@ -199,10 +199,10 @@
         if item is None:
             return False
         timeout = self.tuning.ping_timeout
-        at_hand = item.pool.acquire(values={}, timeout=timeout, first=True)
+        at_hand = item.pool.acquire(values={}, timeout=timeout, urgent=True)
         answer = await self.ask_leader(item, at_hand)
         if answer is None:
-            answer = await self.ask_leader(item, item.pool.open_fresh())
+            answer = await self.ask_leader(item, item.pool.open_new())
         return bool(answer)
 
     async def ask_leader(self, item, getting):
@@ -215,7 +215,7 @@
             if not exc.at_limit:
                 return None
             self.full_at = self.clock()
-            item.reached(self.clock())
+            item.record_probe_answer(self.clock())
             return self.keep_busy(item.id)
         except UpstreamError as exc:
             self.note("no proof", item.id, error=str(exc))
@@ -236,7 +236,7 @@
             position = await prove_leads(pooled.conn, timeout=self.tuning.ping_timeout)
         finally:
             item.pool.release(pooled)
-        item.reached(self.clock())
+        item.record_probe_answer(self.clock())
         return None if position is None else (item.id, position, asked_at)
 
     def keep_busy(self, target):
@@ -316,13 +316,13 @@
     async def ask_quietly(self, item):
         """Ask one member of which a search knows nothing; None for any failure."""
         timeout = self.tuning.ping_timeout
-        getting = item.pool.acquire(values={}, timeout=timeout, first=True)
+        getting = item.pool.acquire(values={}, timeout=timeout, urgent=True)
         try:
             return await self.ask_member(item, getting)
         except UpstreamError as exc:
             if isinstance(exc, UpstreamRefused) and exc.at_limit:
                 self.full_at = self.clock()
-                item.reached(self.clock())
+                item.record_probe_answer(self.clock())
             return None
 
     def found(self, upstream, position, asked_at):
--- a/packages/sessions/gypsum_sessions/upstreams/borrow.py
+++ b/packages/sessions/gypsum_sessions/upstreams/borrow.py
@@ -1,4 +1,4 @@
-"""Connections for short questions and commands, apart from callers' statements."""
+"""Connections for the daemon's own queries and commands to upstreams."""
 
 from contextlib import asynccontextmanager
 
@@ -6,16 +6,16 @@
 
 
 @asynccontextmanager
-async def borrowed(around, item, *, urgent=False):
+async def borrow_connection(context, item, *, urgent=False):
     """A connection of the pool; if all are in use, an urgent one is opened apart.
 
-    Commands of a takeover must not wait behind callers' statements. Where the
-    upstream takes no further connection they wait all the same. Raises UpstreamError.
+    Commands of a takeover must not wait behind callers' statements. If the upstream
+    accepts no further connection, they do wait. Raises UpstreamError.
     """
-    if urgent and not item.pool.has_room():
+    if urgent and not item.pool.has_capacity():
         try:
-            conn = await around.dialer.dial(
-                item.member, timeout=around.tuning.dial_timeout
+            conn = await context.dialer.dial(
+                item.member, timeout=context.tuning.dial_timeout
             )
         except UpstreamRefused:
             conn = None
@@ -26,7 +26,7 @@
                 conn.close()
             return
     pooled = await item.pool.acquire(
-        values={}, timeout=around.tuning.ping_timeout, first=urgent
+        values={}, timeout=context.tuning.ping_timeout, urgent=urgent
     )
     try:
         yield pooled.conn
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -1,4 +1,4 @@
-"""The groups that this daemon holds connections to, and its way to all others."""
+"""The groups that this daemon holds connections to, and access to all others."""
 
 from gypsum_policy.membership import is_list_stable
 from gypsum_sessions.callers.access import LocalAccess
@@ -8,25 +8,25 @@
 from gypsum_sessions.upstreams.group import Group
 
 PART = "hosting"
-# A group that others own is left when nobody has asked for this long, seconds: longer
+# A group owned by others is released after this many seconds without a request: longer
 # than an owner takes to come back after a restart.
-LEAVE_AFTER = 10.0
+RELEASE_AFTER = 10.0
 
 
-class Hosting:
-    """Takes groups up that this daemon owns or is asked for, and leaves the others."""
+class HostedGroups:
+    """Starts groups that this daemon owns or is asked for, and releases the others."""
 
     def __init__(self, *, proxy):
         self.proxy = proxy
         self.groups = {}
         self.takeovers = {}
-        self.reaches = {}
+        self.peer_reachability = {}
         self.tasks = {}
-        self.asked_at = {}
-        # Daemons that were known at the last look, since when there are so many, and
-        # since when there is a list.
-        self.fleet = 0
-        self.grown_at = self.listed_at = float("inf")
+        self.requested_at = {}
+        # Number of daemons at the last check, when it last grew, and when the list of
+        # daemons was first available.
+        self.daemon_count = 0
+        self.last_growth_at = self.first_listed_at = float("inf")
         self.settled = False
 
     def spec(self, name):
@@ -34,42 +34,44 @@
         current = self.proxy.catalog.current
         return current.groups.get(name) if current else None
 
-    def tend(self):
-        """Work with the groups that this daemon owns, and leave those it does not."""
+    def reconcile(self):
+        """Start the groups that this daemon owns and release those it does not."""
         if not self.proxy.daemons.listed:
             return
-        self.look_at_fleet()
+        self.check_daemon_list()
         if self.proxy.catalog.current is None or not self.settled:
             return
         for name, spec in self.proxy.catalog.current.groups.items():
             if self.proxy.daemons.owns(spec):
                 self.start(spec)
-            elif name in self.groups and self.may_leave(name):
-                self.leave(name)
+            elif name in self.groups and self.can_release(name):
+                self.release(name)
 
-    def look_at_fleet(self):
-        """Notice when the list of daemons is whole for the first time."""
+    def check_daemon_list(self):
+        """Detect when the list of daemons is complete for the first time."""
         if self.settled:
             return
         now, known = self.proxy.clock(), len(self.proxy.daemons.known)
-        self.listed_at = min(self.listed_at, now)
-        if known > self.fleet:
-            self.grown_at = now
-        self.fleet = known
+        self.first_listed_at = min(self.first_listed_at, now)
+        if known > self.daemon_count:
+            self.last_growth_at = now
+        self.daemon_count = known
         self.settled = is_list_stable(
             rejoined=self.proxy.daemons.rejoined,
-            listed_for=now - self.listed_at,
-            unchanged_for=now - self.grown_at,
+            listed_for=now - self.first_listed_at,
+            unchanged_for=now - self.last_growth_at,
         )
 
     def start(self, spec):
-        """Start to work with a group, unless we do already; returns it."""
+        """Start a group, unless it is running already; returns it."""
         group = self.groups.get(spec.name)
         if group is not None:
             return group
-        group = Group(spec=spec, around=self.proxy.around)
+        group = Group(spec=spec, context=self.proxy.context)
         self.groups[spec.name] = group
-        reach = self.reaches[spec.name] = Reach(group=group, peers=self.proxy.peers)
+        reach = self.peer_reachability[spec.name] = Reach(
+            group=group, peers=self.proxy.peers
+        )
         self.takeovers[spec.name] = Takeover(
             group=group,
             daemon=self.proxy.name,
@@ -89,42 +91,44 @@
         self.proxy.log(PART, "group taken up", group=spec.name)
         return group
 
-    def may_leave(self, name):
-        """Tell whether nobody has needed our connections to a group for a while."""
+    def can_release(self, name):
+        """Tell whether a group's connections have not been needed lately."""
         if self.takeovers[name].attempting:
             return False
         items = self.groups[name].upstreams.values()
         if any(item.pool.in_use for item in items):
             return False
-        return self.proxy.clock() - self.asked_at.get(name, 0.0) > LEAVE_AFTER
+        return self.proxy.clock() - self.requested_at.get(name, 0.0) > RELEASE_AFTER
 
-    def leave(self, name):
-        """Close what we hold of a group that others own."""
+    def release(self, name):
+        """Close the connections to a group that other daemons own."""
         for task in self.tasks.pop(name):
             task.cancel()
         self.groups.pop(name).close()
         del self.takeovers[name]
-        del self.reaches[name]
-        self.proxy.log(PART, "group left to its owners", group=name)
+        del self.peer_reachability[name]
+        self.proxy.log(PART, "group released", group=name)
 
-    def serve(self, name):
-        """A group for which another daemon asks us, or None if it is not known.
+    def start_for_peer(self, name):
+        """The group that another daemon asks for, started if needed; None if unknown.
 
-        Also one that we do not own: the other daemon reaches none of its owners, or
-        knows of daemons that we have not heard of.
+        Includes groups that this daemon does not own: the other daemon may reach none
+        of the owners, or know of daemons that this one has not heard of.
         """
         spec = self.spec(name)
         if spec is None:
             return None
-        self.asked_at[name] = self.proxy.clock()
+        self.requested_at[name] = self.proxy.clock()
         return self.start(spec)
 
     def access(self, name):
-        """The way to a group, or None if it is not known yet."""
+        """Local or remote access to a group; None if the group is not known yet."""
         spec = self.spec(name)
         if spec is None or not self.proxy.daemons.listed:
             return None
         if self.proxy.daemons.owns(spec):
             group = self.start(spec)
-            return LocalAccess(group=group, reach=self.reaches[name])
-        return RemoteAccess(spec=spec, around=self.proxy.around, peers=self.proxy.peers)
+            return LocalAccess(group=group, reach=self.peer_reachability[name])
+        return RemoteAccess(
+            spec=spec, context=self.proxy.context, peers=self.proxy.peers
+        )
--- a/packages/sessions/gypsum_sessions/upstreams/pool.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pool.py
@@ -1,4 +1,4 @@
-"""Connections of this daemon to one upstream: few, kept, and shared in turn."""
+"""Pool of this daemon's connections to one upstream."""
 
 import asyncio
 from collections import Counter, deque
@@ -16,18 +16,19 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Waiter:
-    """One who waits for a connection of a workspace, of any if that is None."""
+    """A caller that waits for a connection of a workspace; of any, if that is None."""
 
-    turn: asyncio.Future
+    future: asyncio.Future
     workspace: str | None
 
 
 class ConnPool:
-    """At most `limit` connections; who comes first is served first.
+    """At most `limit` connections, given out in the order of requests.
 
-    A new connection costs an upstream tens of milliseconds of a slot, so one is
-    opened only when no other of its workspace is idle. At the limit an idle one of
-    another workspace gives way to it. Questions of our own take any connection.
+    Opening a connection costs the upstream tens of milliseconds of a slot, so a new one
+    is opened only if the workspace has none idle. At the limit, an idle connection of
+    another workspace is closed to make room. The daemon's own queries take any
+    connection.
     """
 
     def __init__(self, *, member, dialer, limit, clock, tuning):
@@ -37,179 +38,189 @@
         self.clock = clock
         self.tuning = tuning
         self.idle = []
-        self.opened = 0
-        self.used = set()
-        # The usual time of a dial, seconds.
-        self.dial_mean = tuning.first_dial
-        # Connections in use by workspace, and those that gave way to another's.
-        self.held = Counter()
+        self.open_count = 0
+        self.checked_out = set()
+        # Running mean of the time to open a connection, seconds.
+        self.mean_dial_time = tuning.first_dial
+        self.in_use_by_workspace = Counter()
+        # Idle connections closed to make room for another workspace's.
         self.displaced = 0
         self.dials = 0
         self.waiting = deque()
         self.closed = False
-        self.redial_at = 0.0
-        self.redial_after = 0.0
-        self.at_limit = False
+        self.next_dial_at = 0.0
+        self.dial_backoff = 0.0
+        self.refused_at_limit = False
 
     async def acquire(
-        self, *, values, timeout, first=False, oldest=False, workspace=None
+        self, *, values, timeout, urgent=False, prefer_oldest=False, workspace=None
     ):
-        """A connection, the one whose values fit best; raises UpstreamError.
+        """Acquire a connection, the one whose values match best; raises UpstreamError.
 
-        `first` goes before all that wait, and may open one connection beyond the limit:
-        for short questions on which others wait. `oldest` prefers the connection that
-        was opened first. It is one of `workspace`; any will do where that is None.
+        An `urgent` caller goes before all that wait and may open one connection beyond
+        the limit: for short queries that other work depends on. `prefer_oldest` picks
+        the idle connection that was opened first. The connection belongs to
+        `workspace`; with None, any connection will do.
         """
         until = self.clock() + timeout
-        next_in_line = first
+        next_in_line = urgent
         while True:
-            if next_in_line or not self.others_wait():
-                pooled = self.take_idle(values, oldest, workspace)
+            if next_in_line or not self.has_servable_waiter():
+                pooled = self.take_idle(values, prefer_oldest, workspace)
                 if pooled is not None:
                     return pooled
-                if self.may_dial(first, workspace):
-                    opened = await self.open_or_wait(workspace or "")
+                if self.can_dial(urgent, workspace):
+                    opened = await self.open_unless_full(workspace or "")
                     if opened is not None:
                         return opened
-                if not self.opened:
-                    raise self.no_dial_yet()
-            await self.wait_turn(until - self.clock(), next_in_line, workspace)
+                if not self.open_count:
+                    raise self.backoff_error()
+            await self.wait_for_connection(
+                until - self.clock(), next_in_line, workspace
+            )
             next_in_line = True
 
-    def others_wait(self):
-        """Tell whether somebody waits who would be served now.
+    def has_servable_waiter(self):
+        """Tell whether a waiting caller could be served now.
 
-        What goes wrong without it: callers of a busy workspace take each connection as
-        it comes back, and those of the others wait until their deadline.
+        New requests queue behind it. Otherwise callers of a busy workspace would take
+        each connection as it is released, and those of other workspaces would wait
+        until their deadline.
         """
         return any(self.can_serve(waiter) for waiter in self.waiting)
 
     def can_serve(self, waiter):
-        """Tell whether a connection that is free would be of use to who waits."""
-        if waiter.turn.done():
+        """Tell whether a waiter could use an idle connection or open a new one."""
+        if waiter.future.done():
             return False
         name = waiter.workspace
         if name is None or any(item.workspace == name for item in self.idle):
             return True
-        room = self.idle or self.opened < self.limit
-        if not room or self.clock() < self.redial_at:
+        room = self.idle or self.open_count < self.limit
+        if not room or self.clock() < self.next_dial_at:
             return False
-        return may_hold(self.held, workspace=name, limit=self.limit)
+        return may_hold(self.in_use_by_workspace, workspace=name, limit=self.limit)
 
-    def may_dial(self, first, workspace):
-        """Tell whether a connection may be opened now; makes room for it if need be."""
-        if self.clock() < self.redial_at:
+    def can_dial(self, urgent, workspace):
+        """Tell whether a connection may be opened now; evicts an idle one if needed."""
+        if self.clock() < self.next_dial_at:
             return False
-        if not may_hold(self.held, workspace=workspace or "", limit=self.limit):
+        if not may_hold(
+            self.in_use_by_workspace, workspace=workspace or "", limit=self.limit
+        ):
             return False
-        if self.may_open(first):
+        if self.below_limit(urgent):
             return True
-        return workspace is not None and self.make_room()
+        return workspace is not None and self.evict_idle()
 
-    def make_room(self):
-        """Close idle connections that will be missed least; tell if one may be opened.
+    def evict_idle(self):
+        """Close the idle connections least likely to be needed until below the limit.
 
-        Two of them where a proof has opened one beyond the limit.
+        Closes two if an urgent caller has opened one beyond the limit. Tells whether a
+        connection may be opened.
         """
-        while self.idle and self.opened >= self.limit:
+        while self.idle and self.open_count >= self.limit:
             index = index_to_evict(
                 [(item.workspace, item.idle_since) for item in self.idle]
             )
             self.idle.pop(index).conn.close()
-            self.opened -= 1
+            self.open_count -= 1
             self.displaced += 1
-        return self.opened < self.limit
+        return self.open_count < self.limit
 
-    def may_open(self, first):
+    def below_limit(self, urgent):
         """Tell whether one more connection may be opened."""
-        return self.opened < self.limit + (1 if first else 0)
+        return self.open_count < self.limit + (1 if urgent else 0)
 
     def set_limit(self, limit):
-        """Change the limit; who waits may open what it allows now."""
+        """Change the limit and wake a waiter if it was raised."""
         raised = limit > self.limit
         self.limit = limit
         if raised:
-            self.wake_one()
+            self.wake_next()
 
-    async def open_fresh(self):
-        """A connection that was just opened, also where others are idle.
+    async def open_new(self):
+        """Open a connection even if others are idle.
 
-        Raises UpstreamError. If the pool is full already the oldest idle one is closed.
+        Raises UpstreamError. If the pool is full, the oldest idle connection is closed.
         """
-        if self.idle and not self.may_open(True):
+        if self.idle and not self.below_limit(True):
             self.idle.pop(0).conn.close()
-            self.opened -= 1
-        return await self.open_one()
+            self.open_count -= 1
+        return await self.open_connection()
 
-    def opening_cost(self, workspace):
-        """Seconds that a new connection takes, 0 if a workspace has one idle.
+    def dial_cost(self, workspace):
+        """Expected seconds to open a connection, 0 if the workspace has one idle.
 
-        Where callers show no key any connection will do, and few are opened.
+        Also 0 without a workspace: any connection will do then, so that few are opened.
         """
         if not workspace or any(item.workspace == workspace for item in self.idle):
             return 0.0
-        return self.dial_mean
+        return self.mean_dial_time
 
     @property
     def in_use(self):
-        """Connections in use."""
-        return len(self.used)
-
-    def frees_soon(self):
-        """Tell whether a connection is used by no transaction, which might pause."""
-        return any(not item.in_transaction for item in self.used)
-
-    def has_room(self):
-        """Tell whether a connection can be had without waiting for another's end."""
-        self.drop_dead()
-        return bool(self.idle) or self.opened < self.limit
-
-    def take_idle(self, values, oldest=False, workspace=None):
-        """An idle connection, or None; dead ones are dropped on the way."""
-        self.drop_dead()
-        places = [
-            place
-            for place, item in enumerate(self.idle)
+        """Number of connections in use."""
+        return len(self.checked_out)
+
+    def may_free_soon(self):
+        """Tell whether a connection is in use outside of a transaction.
+
+        A transaction may pause between statements and holds its connection meanwhile.
+        """
+        return any(not item.in_transaction for item in self.checked_out)
+
+    def has_capacity(self):
+        """Tell whether a connection is idle or may be opened."""
+        self.prune_closed()
+        return bool(self.idle) or self.open_count < self.limit
+
+    def take_idle(self, values, prefer_oldest=False, workspace=None):
+        """Take an idle connection, or None; connections found closed are removed."""
+        self.prune_closed()
+        indexes = [
+            index
+            for index, item in enumerate(self.idle)
             if workspace is None or item.workspace == workspace
         ]
-        if not places:
+        if not indexes:
             return None
-        if oldest:
-            best = min(places, key=lambda place: self.idle[place].opened_at)
+        if prefer_oldest:
+            best = min(indexes, key=lambda index: self.idle[index].opened_at)
         else:
             best = max(
-                places, key=lambda place: (self.idle[place].values == values, place)
+                indexes, key=lambda index: (self.idle[index].values == values, index)
             )
-        return self.take(self.idle.pop(best))
+        return self.check_out(self.idle.pop(best))
 
-    def take(self, pooled):
-        """Count a connection as in use."""
-        self.used.add(pooled)
-        self.held[pooled.workspace] += 1
+    def check_out(self, pooled):
+        """Mark a connection as in use."""
+        self.checked_out.add(pooled)
+        self.in_use_by_workspace[pooled.workspace] += 1
         return pooled
 
-    def drop_dead(self):
-        """Forget idle connections that were closed by the other end."""
+    def prune_closed(self):
+        """Remove idle connections that the upstream has closed."""
         alive = [item for item in self.idle if item.alive]
-        self.opened -= len(self.idle) - len(alive)
+        self.open_count -= len(self.idle) - len(alive)
         self.idle = alive
 
-    async def open_or_wait(self, workspace):
-        """Open a connection; None if the upstream takes no more and others are open.
+    async def open_unless_full(self, workspace):
+        """Open a connection; None if the upstream is at its limit and others are open.
 
-        What goes wrong when its refusal is passed on: a statement fails, and the
-        upstream counts as failing, though a connection of ours is free in a moment.
+        If that refusal were raised, the statement would fail and the upstream would
+        count as failing, although a connection of this pool is free a moment later.
         """
         try:
-            return await self.open_one(workspace)
+            return await self.open_connection(workspace)
         except UpstreamRefused as exc:
-            if exc.at_limit and self.opened:
+            if exc.at_limit and self.open_count:
                 return None
             raise
 
-    def no_dial_yet(self):
-        """The error of a statement that comes while dialling is put off."""
-        if self.at_limit:
+    def backoff_error(self):
+        """The error for a statement that arrives during the dial backoff."""
+        if self.refused_at_limit:
             return UpstreamRefused(
                 "no new dial yet",
                 step="acquire",
@@ -220,26 +231,26 @@
             "no new dial yet", step="acquire", peer=self.member.id, sent=False
         )
 
-    async def open_one(self, workspace=""):
-        """Open a connection."""
-        self.opened += 1
+    async def open_connection(self, workspace=""):
+        """Open a connection; raises UpstreamError."""
+        self.open_count += 1
         self.dials += 1
-        began = self.clock()
+        started_at = self.clock()
         try:
             conn = await self.dialer.dial(
                 self.member, timeout=self.tuning.dial_timeout, workspace=workspace
             )
         except BaseException as exc:
-            self.opened -= 1
-            self.at_limit = isinstance(exc, UpstreamRefused) and exc.at_limit
-            self.put_off_dialling()
-            self.wake_one()
+            self.open_count -= 1
+            self.refused_at_limit = isinstance(exc, UpstreamRefused) and exc.at_limit
+            self.start_backoff()
+            self.wake_next()
             raise
-        self.redial_after = 0.0
-        self.at_limit = False
-        spent = self.clock() - began
-        self.dial_mean += self.tuning.mean_weight * (spent - self.dial_mean)
-        return self.take(
+        self.dial_backoff = 0.0
+        self.refused_at_limit = False
+        spent = self.clock() - started_at
+        self.mean_dial_time += self.tuning.mean_weight * (spent - self.mean_dial_time)
+        return self.check_out(
             PooledConn(
                 upstream=self.member.id,
                 conn=conn,
@@ -248,35 +259,36 @@
             )
         )
 
-    def put_off_dialling(self):
-        """After a failed dial the next one waits, longer each time.
+    def start_backoff(self):
+        """Delay the next dial after a failed one, longer each time.
 
-        Not so at an upstream's limit: it has room again at any moment.
+        The delay is constant if the upstream is at its connection limit, since it may
+        have room again at any moment.
         """
-        if self.at_limit:
-            self.redial_after = self.tuning.redial_full
+        if self.refused_at_limit:
+            self.dial_backoff = self.tuning.redial_full
         else:
-            self.redial_after = min(
-                max(self.tuning.redial_first, 2 * self.redial_after),
+            self.dial_backoff = min(
+                max(self.tuning.redial_first, 2 * self.dial_backoff),
                 self.tuning.redial_most,
             )
-        self.redial_at = self.clock() + self.redial_after
+        self.next_dial_at = self.clock() + self.dial_backoff
 
-    async def wait_turn(self, timeout, first, workspace):
+    async def wait_for_connection(self, timeout, at_front, workspace):
         """Wait until a connection is free or may be opened."""
-        turn = asyncio.get_running_loop().create_future()
-        waiter = Waiter(turn=turn, workspace=workspace)
-        if first:
+        future = asyncio.get_running_loop().create_future()
+        waiter = Waiter(future=future, workspace=workspace)
+        if at_front:
             self.waiting.appendleft(waiter)
         else:
             self.waiting.append(waiter)
         try:
             async with asyncio.timeout(timeout):
-                await turn
+                await future
         except BaseException as exc:
-            if turn.done() and not turn.cancelled():
-                # The turn came just as we gave up: it is the next one's.
-                self.wake_one()
+            if future.done() and not future.cancelled():
+                # Woken while it timed out or was cancelled: wake the next waiter.
+                self.wake_next()
             if isinstance(exc, TimeoutError):
                 raise NoFreeConnection(
                     "no free connection", step="acquire", peer=self.member.id
@@ -287,47 +299,51 @@
                 self.waiting.remove(waiter)
 
     def release(self, pooled):
-        """Give a connection back; a closed one makes room for a new one."""
-        self.used.discard(pooled)
-        self.held[pooled.workspace] -= 1
+        """Return a connection to the pool; one that can't be reused is closed."""
+        self.checked_out.discard(pooled)
+        self.in_use_by_workspace[pooled.workspace] -= 1
         if pooled.alive and not self.closed and not pooled.in_transaction:
             pooled.idle_since = self.clock()
             self.idle.append(pooled)
         else:
             pooled.conn.close()
-            self.opened -= 1
-        self.wake_one()
+            self.open_count -= 1
+        self.wake_next()
 
-    def wake_one(self):
-        """Let the first who still waits, and would be served, try again."""
+    def wake_next(self):
+        """Wake the first waiter that could be served."""
         for waiter in self.waiting:
             if self.can_serve(waiter):
                 self.waiting.remove(waiter)
-                waiter.turn.set_result(None)
+                waiter.future.set_result(None)
                 return
 
-    def trim(self):
-        """Close what was not needed for a while, but for one connection.
+    def close_surplus(self):
+        """Close connections that have been idle too long, but keep one.
 
-        What goes wrong without it: after a rush every daemon holds its full share
-        for ever, and together with the connections for proofs and commands that is
-        more than an upstream takes.
+        Otherwise every daemon would keep its full share for ever after a load peak.
+        Together with the connections for proofs of leadership and for commands, that
+        exceeds what an upstream accepts.
         """
         now = self.clock()
-        old = [item for item in self.idle if now - item.idle_since > self.keeps(item)]
-        for pooled in old[: self.opened - 1]:
+        old = [
+            item
+            for item in self.idle
+            if now - item.idle_since > self.idle_timeout(item)
+        ]
+        for pooled in old[: self.open_count - 1]:
             pooled.conn.close()
-        self.drop_dead()
+        self.prune_closed()
 
-    def keeps(self, pooled):
-        """Seconds for which a connection that is not needed is kept."""
+    def idle_timeout(self, pooled):
+        """Seconds after which an idle connection is closed."""
         tuning = self.tuning
         return tuning.idle_limit_named if pooled.workspace else tuning.idle_limit
 
     def close(self):
-        """Close what is idle; what is in use is closed when it comes back."""
+        """Close idle connections; those in use are closed when they are released."""
         self.closed = True
         for pooled in self.idle:
             pooled.conn.close()
-        self.opened -= len(self.idle)
+        self.open_count -= len(self.idle)
         self.idle = []
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -133,9 +133,9 @@
             for proxy in rig.proxies[1:]
         ]
         await asyncio.sleep(0.5)
-        cut.around.dialer.dialer.cut.add("u1")
+        cut.context.dialer.dialer.cut.add("u1")
         for conn in list(rig.group["u1"].conns):
-            conn.silent = conn.silent or conn.dialer is cut.around.dialer.dialer
+            conn.silent = conn.silent or conn.dialer is cut.context.dialer.dialer
         await asyncio.gather(*writers)
         check_nothing_lost(rig, told)
 
@@ -275,7 +275,7 @@
         await rig.settle()
         proxy = rig.make_proxy("late", ["late", "d0"], rig.proxy.tuning, 1)
         group = proxy.groups["db"]
-        group.take_members([])
+        group.update_members([])
         await asyncio.sleep(2.0)
         proxy.take_members([m for m in rig.group.listing() if m.id != "u1"])
         await asyncio.sleep(1.5)
--- a/tests/sessions/test_workspaces.py
+++ b/tests/sessions/test_workspaces.py
@@ -179,14 +179,14 @@
         rig = await keyed_rig()
         group = rig.proxy.groups["db"]
         for item in group.upstreams.values():
-            item.turns.queue.running = item.turns.queue.limit
+            item.admission.queue.running = item.admission.queue.limit
         caller = rig.caller(key="n1")
         waiting = asyncio.create_task(caller.send("READ a"))
         await asyncio.sleep(0.05)
         withdraw(rig)
         for item in group.upstreams.values():
-            for _ in range(item.turns.queue.limit):
-                item.turns.ended(None)
+            for _ in range(item.admission.queue.limit):
+                item.admission.finished(None)
         reply = await waiting
         assert reply.refusal is Refusal.UNKNOWN_KEY
         assert rig.group.watch.ran == []
@@ -287,7 +287,7 @@
 def test_a_workspace_uses_its_connections_again():
     async def main():
         rig = await keyed_rig()
-        dialer = rig.proxy.around.dialer.dialer
+        dialer = rig.proxy.context.dialer.dialer
         caller = rig.caller("primary", key="n1")
         await caller.send("READ a")
         dials = dialer.dials
@@ -314,6 +314,6 @@
             assert (await caller.send("READ a")).ok
         pool = rig.proxy.groups["db"].upstreams["u1"].pool
         assert pool.displaced
-        assert pool.opened <= pool.limit + 1
+        assert pool.open_count <= pool.limit + 1
 
     run(main())
