--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -16,7 +16,7 @@
 from gypsum_sessions.daemons.usage import Usage
 from gypsum_sessions.daemons.warmlinks import WarmLinks
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
-from gypsum_sessions.takeover.leaseboard import LeaseBoard
+from gypsum_sessions.takeover.lease_view import LeaseBoard
 from gypsum_sessions.upstreams.group import Surroundings
 from gypsum_sessions.upstreams.hosting import Hosting
 from gypsum_sessions.upstreams.recorder import LOOK_EVERY, MemberRecorder
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -12,7 +12,7 @@
 from gypsum_sessions.execution.turns import Turns
 from gypsum_sessions.takeover.floors import Floors
 from gypsum_sessions.takeover.leader import LeaderWatch
-from gypsum_sessions.takeover.leaseboard import LeaseBoard
+from gypsum_sessions.takeover.lease_view import LeaseBoard
 from gypsum_sessions.takeover.stall import WriteStall
 from gypsum_sessions.tuning import SessionTuning
 from gypsum_sessions.upstreams.pool import ConnPool
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -23,7 +23,7 @@
 from gypsum_sessions.borders import LeaseError, PromoteOutcome
 from gypsum_sessions.daemons.asks import News
 from gypsum_sessions.daemons.relay import Relay
-from gypsum_sessions.takeover.leaseboard import LeaseBoard
+from gypsum_sessions.takeover.lease_view import LeaseBoard
 from gypsum_sessions.upstreams.recorder import MemberRecorder
 from gypsum_sessions.upstreams.roster import Member
 from tests.sessions.vclock import run
