--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -14,7 +14,7 @@
 from gypsum_sessions.execution import writes
 from gypsum_sessions.takeover import reasons
 from gypsum_sessions.takeover.leader import LeaderWatch
-from gypsum_sessions.takeover.reach import Reach
+from gypsum_sessions.takeover.peer_reachability import Reach
 from gypsum_sessions.takeover.replication import ReplicationControl
 from gypsum_sessions.tuning import SessionTuning
 from gypsum_sessions.upstreams import group
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -4,7 +4,7 @@
 from gypsum_sessions.callers.access import LocalAccess
 from gypsum_sessions.daemons.remote import RemoteAccess
 from gypsum_sessions.takeover.attempt import Takeover
-from gypsum_sessions.takeover.reach import Reach
+from gypsum_sessions.takeover.peer_reachability import Reach
 from gypsum_sessions.upstreams.group import Group
 
 PART = "hosting"
