--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -136,7 +136,7 @@
         for item in group.upstreams.values()
         if item.id != leader
         and item.member.missing_since is None
-        and board.knows(group.name, item.member.joined)
+        and board.member_known(group.name, item.member.joined)
     ]
     staying = [item for item in known if item.member.stays]
     return staying or known
@@ -191,7 +191,7 @@
             values={}, timeout=around.tuning.ping_timeout, first=True, oldest=True
         )
         try:
-            if not around.board.trusts(group.name, pooled.opened_at):
+            if not around.board.connection_trusted(group.name, pooled.opened_at):
                 return Evidence.UNKNOWN
             evidence = await question(item, pooled.conn, position, around.tuning)
         finally:
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -16,7 +16,7 @@
 from gypsum_sessions.daemons.usage import Usage
 from gypsum_sessions.daemons.warmlinks import WarmLinks
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
-from gypsum_sessions.takeover.lease_view import LeaseBoard
+from gypsum_sessions.takeover.lease_view import LeaseView
 from gypsum_sessions.upstreams.group import Surroundings
 from gypsum_sessions.upstreams.hosting import Hosting
 from gypsum_sessions.upstreams.recorder import LOOK_EVERY, MemberRecorder
@@ -92,7 +92,7 @@
             clock=clock, missing_looks=round(tuning.missing_grace / TEND_EVERY)
         )
         self.recorder = MemberRecorder(records=records, log=log)
-        self.board = LeaseBoard(clock=clock, rest=tuning.settled_after)
+        self.board = LeaseView(clock=clock, takeover_window=tuning.settled_after)
         self.around = Surroundings(
             clock=clock,
             dialer=CheckingDialer(dialer=dialer, replaced=self.member_replaced),
@@ -150,7 +150,7 @@
         """
         if self.departure or self.catalog.version < 0:
             return False
-        listed = self.roster_known and self.board.known_to >= 0
+        listed = self.roster_known and self.board.known_revision >= 0
         return listed and not self.cut_off()
 
     def cut_off(self):
@@ -413,7 +413,7 @@
             newest = max(
                 (member.joined for member in self.roster.members.values()), default=-1
             )
-            behind = behind + 1 if 0 <= self.board.known_to < newest else 0
+            behind = behind + 1 if 0 <= self.board.known_revision < newest else 0
             if behind < BEHIND_LOOKS:
                 continue
             behind = 0
@@ -424,14 +424,14 @@
                 await asyncio.sleep(RESTART_PAUSE)
                 continue
             for group, lease in leases.items():
-                self.board.note(group, lease)
-            self.board.note_known(revision)
+                self.board.record(group, lease)
+            self.board.record_revision(revision)
 
     async def keep_records(self):
         """Keep the groups' members on record, for ever."""
         while True:
             await asyncio.sleep(LOOK_EVERY)
-            if self.board.known_to < 0:
+            if self.board.known_revision < 0:
                 continue
             for name, group in list(self.groups.items()):
                 place = self.takeovers[name].place()
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -39,16 +39,18 @@
     """Watches one group and replaces its primary when it is out of service."""
 
     def __init__(
-        self, *, group, daemon, leases, board, promoter, relist, recorder, reach
+        self, *, group, daemon, leases, lease_view, promoter, relist, recorder, reach
     ):
         self.group = group
         self.around = group.around
         self.daemon = daemon
         self.leases = leases
-        self.board = board
+        self.lease_view = lease_view
         self.promoter = promoter
         self.relist = relist
-        self.reasons = Reasons(group=group, board=board, recorder=recorder, reach=reach)
+        self.reasons = Reasons(
+            group=group, lease_view=lease_view, recorder=recorder, reach=reach
+        )
         self.lease = None
         self.control = ReplicationControl(group=group, log=self.log)
         self.ordered = ""
@@ -137,7 +139,7 @@
         lease = await self.leases.settle(self.group.name, self.lease)
         if lease is not None:
             self.lease = lease
-            self.board.note(self.group.name, lease)
+            self.lease_view.record(self.group.name, lease)
 
     async def finish_for_another(self):
         """Confirm the primary under a new token, and let paused replicas go on."""
@@ -157,7 +159,7 @@
 
     def superseded(self):
         """Tell whether a higher token than ours is known."""
-        return self.board.token(self.group.name) > self.lease.token
+        return self.lease_view.token(self.group.name) > self.lease.token
 
     async def refresh(self, reason):
         """Read the members anew before anything is decided about them.
@@ -226,7 +228,7 @@
         is under way; resumed, they let the old primary acknowledge commits that the
         new one will not have.
         """
-        age = self.board.age(self.group.name)
+        age = self.lease_view.age(self.group.name)
         self.log("replicas found paused", held=held, lease_age=round(age, 2))
         if age < self.around.tuning.settled_after:
             self.rest_until = self.around.clock() + ROUND_PAUSE
@@ -239,10 +241,10 @@
         """Get a fresh token for this attempt; tell whether we have it."""
         name, tuning = self.group.name, self.around.tuning
         found = await self.leases.read(name)
-        self.board.note(name, found)
-        seen = self.board.newest(name, found)
+        self.lease_view.record(name, found)
+        seen = self.lease_view.newest(name, found)
         foreign = seen.holder not in ("", self.daemon)
-        if foreign and self.board.age(name) < tuning.lease_rest:
+        if foreign and self.lease_view.age(name) < tuning.lease_rest:
             self.log("left to its holder", reason=reason, holder=seen.holder)
             self.rest_until = self.around.clock() + tuning.lease_look
             return False
@@ -252,7 +254,7 @@
             self.rest_until = self.around.clock() + tuning.lease_look
             return False
         self.lease = lease
-        self.board.note(name, lease)
+        self.lease_view.record(name, lease)
         self.log("lease taken", reason=reason, token=lease.token, after=seen.holder)
         return True
 
@@ -405,8 +407,10 @@
         only after the primary was confirmed under a new token: an order of ours that
         got no answer may be carried out seconds later, and must be refused then.
         """
-        ours = self.lease.token if self.lease else self.board.token(self.group.name)
-        if self.board.token(self.group.name) > ours:
+        ours = (
+            self.lease.token if self.lease else self.lease_view.token(self.group.name)
+        )
+        if self.lease_view.token(self.group.name) > ours:
             self.log("left paused for the daemon that took over")
             self.control.paused.clear()
             return
--- a/packages/sessions/gypsum_sessions/takeover/lease_view.py
+++ b/packages/sessions/gypsum_sessions/takeover/lease_view.py
@@ -5,7 +5,7 @@
 from gypsum_sessions.borders import PromotionLease
 
 # A takeover that began before this process may be under way this long, seconds.
-START_REST = 1.0
+INITIAL_WINDOW = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -20,7 +20,7 @@
     chain_seen_at: float
 
 
-class LeaseBoard:
+class LeaseView:
     """The newest lease of each group.
 
     The store's clock and other daemons' clocks are not ours, so a lease's age is the
@@ -28,26 +28,26 @@
     lease over while its holder waits for a promotion to show, and undoes its work.
     """
 
-    def __init__(self, *, clock, rest):
+    def __init__(self, *, clock, takeover_window):
         self.clock = clock
-        self.rest = rest
+        self.takeover_window = takeover_window
         self.seen = {}
-        self.known_to = -1
+        self.known_revision = -1
 
-    def note_known(self, revision):
+    def record_revision(self, revision):
         """All leases up to a revision of the store have been taken in."""
-        self.known_to = max(self.known_to, revision)
+        self.known_revision = max(self.known_revision, revision)
 
-    def note_first(self, group, lease):
+    def record_initial(self, group, lease):
         """Take in a lease as it was found at the start.
 
         Nobody knows since when it is so. A promotion takes up to a second and this
         process took a part of that to start, so little of a rest is left.
         """
-        found = self.clock() - self.rest + START_REST
+        found = self.clock() - self.takeover_window + INITIAL_WINDOW
         self.seen[group] = SeenLease(lease=lease, seen_at=found, chain_seen_at=found)
 
-    def note(self, group, lease):
+    def record(self, group, lease):
         """Take in a lease as the store has it; older news and "nobody" are ignored."""
         if not lease.token:
             return
@@ -83,9 +83,9 @@
 
     def under_way(self, group):
         """Tell whether a takeover may be under way: unsettled, and not for long."""
-        return self.unsettled(group) and self.age(group) < self.rest
+        return self.unsettled(group) and self.age(group) < self.takeover_window
 
-    def knows(self, group, joined):
+    def member_known(self, group, joined):
         """Tell whether each takeover under way has a member on its list.
 
         A takeover takes the lease, then reads the list. So it knows of all that were
@@ -96,9 +96,9 @@
         """
         if self.unsettled(group) and joined >= self.seen[group].lease.began:
             return False
-        return joined <= self.known_to
+        return joined <= self.known_revision
 
-    def trusts(self, group, opened_at):
+    def connection_trusted(self, group, opened_at):
         """Tell whether a replica's word counts over a connection opened at a time.
 
         What goes wrong without it: a replica that a takeover has paused restarts, is
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -19,11 +19,11 @@
 class Reasons:
     """Looks at one group for a reason to act."""
 
-    def __init__(self, *, group, board, recorder, reach):
+    def __init__(self, *, group, lease_view, recorder, reach):
         self.reach = reach
         self.group = group
         self.around = group.around
-        self.board = board
+        self.lease_view = lease_view
         self.recorder = recorder
 
     def find(self):
@@ -66,9 +66,9 @@
         joined since can't confirm commits, for an order may still be carried out.
         """
         name = self.group.name
-        if not self.board.unsettled(name):
+        if not self.lease_view.unsettled(name):
             return False
-        return self.board.age(name) >= self.around.tuning.settled_after + delay
+        return self.lease_view.age(name) >= self.around.tuning.settled_after + delay
 
     def primary_leaves(self, delay):
         """Tell whether the primary leaves and another member could lead."""
@@ -93,7 +93,7 @@
         return worth_changing(
             behind_for=behind_for - delay,
             pressed_for=leader.turns.queue.pressed_for(now),
-            led_for=min(self.board.age(group.name), now - group.watch.found_at),
+            led_for=min(self.lease_view.age(group.name), now - group.watch.found_at),
         )
 
     def successors(self, leader):
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -12,7 +12,7 @@
 from gypsum_sessions.execution.turns import Turns
 from gypsum_sessions.takeover.floors import Floors
 from gypsum_sessions.takeover.leader import LeaderWatch
-from gypsum_sessions.takeover.lease_view import LeaseBoard
+from gypsum_sessions.takeover.lease_view import LeaseView
 from gypsum_sessions.takeover.stall import WriteStall
 from gypsum_sessions.tuning import SessionTuning
 from gypsum_sessions.upstreams.pool import ConnPool
@@ -35,7 +35,7 @@
     log: EventLog
     domain: str
     daemons: Daemons
-    board: LeaseBoard
+    board: LeaseView
     drain_seconds: float
     started_at: float
     catalog: Catalog
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -74,7 +74,7 @@
             group=group,
             daemon=self.proxy.name,
             leases=self.proxy.leases,
-            board=self.proxy.board,
+            lease_view=self.proxy.board,
             promoter=self.proxy.promoter,
             relist=self.proxy.relist,
             recorder=self.proxy.recorder,
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -23,7 +23,7 @@
 from gypsum_sessions.borders import LeaseError, PromoteOutcome
 from gypsum_sessions.daemons.asks import News
 from gypsum_sessions.daemons.relay import Relay
-from gypsum_sessions.takeover.lease_view import LeaseBoard
+from gypsum_sessions.takeover.lease_view import LeaseView
 from gypsum_sessions.upstreams.recorder import MemberRecorder
 from gypsum_sessions.upstreams.roster import Member
 from tests.sessions.vclock import run
@@ -192,7 +192,7 @@
     def __init__(self):
         super().__init__()
         self.daemons = DaemonsDouble()
-        self.board = LeaseBoard(clock=time.monotonic, rest=4.0)
+        self.board = LeaseView(clock=time.monotonic, takeover_window=4.0)
         self.recorder = MemberRecorder(records=None, log=self.log)
         self.recalled = {}
 
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -369,7 +369,7 @@
         proxy = self.rig.make_proxy(old.name, names, old.tuning, self.rig.version)
         proxy.board.seen.clear()
         if self.rig.leases.lease.token:
-            proxy.board.note_first("db", self.rig.leases.lease)
+            proxy.board.record_initial("db", self.rig.leases.lease)
         proxy.recorder.recorded.clear()
         if "db" in self.rig.records.saved:
             proxy.recall("db", self.rig.records.saved["db"])
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -165,7 +165,7 @@
                 log=self.log,
                 waker=waker,
                 gather=gather,
-                caught_up=proxy.board.note_known if kind == OWN_KIND else None,
+                caught_up=proxy.board.record_revision if kind == OWN_KIND else None,
                 relay=proxy.relay,
                 following=proxy.following,
                 watch_ms=CONFIG_WATCH_MS if kind == CONFIG_KIND else WATCH_MS,
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -36,7 +36,7 @@
         """All watches show the lease a moment later."""
         loop, lease = asyncio.get_running_loop(), self.lease
         for board in self.boards:
-            loop.call_later(0.003, board.note, "db", lease)
+            loop.call_later(0.003, board.record, "db", lease)
 
     async def read(self, group):
         """The lease."""
@@ -238,8 +238,8 @@
 
     def catch_up(self, proxy):
         """A daemon's watch of the leases has shown it all that there is."""
-        proxy.board.note("db", self.leases.lease)
-        proxy.board.note_known(self.group.revision)
+        proxy.board.record("db", self.leases.lease)
+        proxy.board.record_revision(self.group.revision)
 
     def log(self, part, event, **fields):
         """Keep a line; its fields must not hide what every line has."""
--- a/tests/sessions/test_confirm.py
+++ b/tests/sessions/test_confirm.py
@@ -260,13 +260,13 @@
     async def main():
         rig = await settled_rig()
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
-        rig.proxy.board.note("db", lease)
+        rig.proxy.board.record("db", lease)
         for name in ("u2", "u3"):
             rig.group[name].crash()
             rig.group[name].restart()
         caller = rig.caller("own")
         assert (await caller.send("WRITE a 1")).refusal is Refusal.IN_DOUBT
-        rig.proxy.board.note("db", replace(lease, settled=True))
+        rig.proxy.board.record("db", replace(lease, settled=True))
         assert (await caller.send("WRITE a 2")).ok
 
     run(main())
@@ -279,7 +279,7 @@
         rig = await settled_rig()
         assert (await rig.caller("own").send("WRITE a 1")).ok
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
-        rig.proxy.board.note("db", lease)
+        rig.proxy.board.record("db", lease)
         assert (await rig.caller("own").send("WRITE a 2")).ok
 
     run(main())
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -111,7 +111,7 @@
         rig = Rig()
         await rig.settle()
         lease = await rig.leases.take("db", "other", rig.leases.lease)
-        rig.proxy.board.note("db", lease)
+        rig.proxy.board.record("db", lease)
         rig.group["u2"].restart_empty()
         refresh(rig)
         known = known_replicas(rig.proxy.groups["db"], "u1")
--- a/tests/sessions/test_lease_view.py
+++ b/tests/sessions/test_lease_view.py
@@ -1,9 +1,9 @@
 """Which members each takeover has on its list, by the store's order."""
 
 from gypsum_sessions.borders import PromotionLease
-from gypsum_sessions.takeover.lease_view import START_REST, LeaseBoard
+from gypsum_sessions.takeover.lease_view import INITIAL_WINDOW, LeaseView
 
-REST = 4.0
+WINDOW = 4.0
 
 
 class Clock:
@@ -16,12 +16,12 @@
         return self.now
 
 
-def make_board():
-    """A board that has heard all up to revision 10, and its clock."""
+def make_view():
+    """A view that has heard all up to revision 10, and its clock."""
     clock = Clock()
-    board = LeaseBoard(clock=clock, rest=REST)
-    board.note_known(10)
-    return board, clock
+    view = LeaseView(clock=clock, takeover_window=WINDOW)
+    view.record_revision(10)
+    return view, clock
 
 
 def lease(token, revision, *, settled=False, chain=0):
@@ -36,9 +36,9 @@
 
 
 def test_members_listed_before_the_newest_news_are_known():
-    board, _ = make_board()
-    assert board.knows("g", 10)
-    assert not board.knows("g", 11)
+    view, _ = make_view()
+    assert view.member_known("g", 10)
+    assert not view.member_known("g", 11)
 
 
 def test_a_member_that_joins_during_a_takeover_is_not_known_until_it_is_settled():
@@ -48,25 +48,25 @@
     back and a member joins it; commits are acknowledged through that, and ten seconds
     later the order is carried out. Cause: a takeover counted as over after four.
     """
-    board, clock = make_board()
-    board.note("g", lease(1, 20))
-    board.note_known(30)
-    assert board.knows("g", 19)
-    assert not board.knows("g", 25)
-    clock.now += 100 * REST
-    assert not board.knows("g", 25)
-    board.note("g", lease(1, 31, settled=True))
-    assert board.knows("g", 25)
-    assert not board.under_way("g")
+    view, clock = make_view()
+    view.record("g", lease(1, 20))
+    view.record_revision(30)
+    assert view.member_known("g", 19)
+    assert not view.member_known("g", 25)
+    clock.now += 100 * WINDOW
+    assert not view.member_known("g", 25)
+    view.record("g", lease(1, 31, settled=True))
+    assert view.member_known("g", 25)
+    assert not view.under_way("g")
 
 
 def test_leases_that_follow_each_other_unsettled_are_one_chain():
-    board, _ = make_board()
-    board.note("g", lease(1, 20))
+    view, _ = make_view()
+    view.record("g", lease(1, 20))
     second = lease(2, 30, chain=lease(1, 20).next_chain)
-    board.note("g", second)
-    board.note_known(40)
-    assert not board.knows("g", 25)
+    view.record("g", second)
+    view.record_revision(40)
+    assert not view.member_known("g", 25)
     assert second.next_chain == 20
     assert lease(2, 35, settled=True, chain=20).next_chain == 0
 
@@ -77,29 +77,29 @@
     Sequence: a daemon is about to take a lease that nobody ever had, and notes what it
     found: revision 0. Cause: that counted as a takeover older than all members.
     """
-    board, _ = make_board()
-    board.note("g", lease(0, 0))
-    assert not board.under_way("g")
-    assert board.knows("g", 5)
+    view, _ = make_view()
+    view.record("g", lease(0, 0))
+    assert not view.under_way("g")
+    assert view.member_known("g", 5)
 
 
 def test_a_takeover_found_at_the_start_is_under_way_for_a_moment():
-    board, clock = make_board()
-    board.note_first("g", lease(3, 8))
-    assert board.under_way("g")
-    assert not board.knows("g", 9)
-    clock.now += START_REST
-    assert not board.under_way("g")
-    assert board.knows("g", 7)
+    view, clock = make_view()
+    view.record_initial("g", lease(3, 8))
+    assert view.under_way("g")
+    assert not view.member_known("g", 9)
+    clock.now += INITIAL_WINDOW
+    assert not view.under_way("g")
+    assert view.member_known("g", 7)
 
 
 def test_a_connection_that_is_younger_than_a_takeover_is_not_trusted():
-    board, clock = make_board()
-    assert board.trusts("g", clock.now)
-    board.note("g", lease(1, 20))
+    view, clock = make_view()
+    assert view.connection_trusted("g", clock.now)
+    view.record("g", lease(1, 20))
     clock.now += 1.0
-    board.note("g", lease(2, 30, chain=20))
-    assert board.trusts("g", 49.9)
-    assert not board.trusts("g", 50.5)
-    board.note("g", lease(2, 40, settled=True, chain=20))
-    assert board.trusts("g", clock.now)
+    view.record("g", lease(2, 30, chain=20))
+    assert view.connection_trusted("g", 49.9)
+    assert not view.connection_trusted("g", 50.5)
+    view.record("g", lease(2, 40, settled=True, chain=20))
+    assert view.connection_trusted("g", clock.now)
--- a/tests/sessions/test_lost_lease.py
+++ b/tests/sessions/test_lost_lease.py
@@ -5,7 +5,7 @@
 from gypsum_sessions.borders import PromotionLease
 from gypsum_sessions.takeover.reasons import Reason
 from tests.sessions.rig import Rig
-from tests.sessions.test_lease_view import lease, make_board
+from tests.sessions.test_lease_view import lease, make_view
 from tests.sessions.vclock import run
 
 
@@ -32,16 +32,16 @@
 
 
 def test_the_lease_that_the_store_has_goes_before_an_older_one():
-    board, _ = make_board()
-    board.note("g", lease(4, 8))
-    assert board.newest("g", lease(5, 9)) == lease(5, 9)
-    assert board.newest("h", lease(1, 9)) == lease(1, 9)
+    view, _ = make_view()
+    view.record("g", lease(4, 8))
+    assert view.newest("g", lease(5, 9)) == lease(5, 9)
+    assert view.newest("h", lease(1, 9)) == lease(1, 9)
 
 
 def test_a_lost_lease_is_taken_over_at_the_revision_that_the_store_has():
-    board, _ = make_board()
-    board.note("g", lease(4, 8))
+    view, _ = make_view()
+    view.record("g", lease(4, 8))
     seen = PromotionLease(holder="", token=0, revision=0)
-    found = board.newest("g", seen)
+    found = view.newest("g", seen)
     assert (found.holder, found.token, found.revision) == ("d", 4, 0)
     assert found.next_chain == 8
