--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -186,7 +186,7 @@
         if reason is Reason.BEHIND:
             # A primary that is gone meanwhile is another reason.
             return not leader
-        return reason is Reason.STALLED and not self.group.stall.started
+        return reason is Reason.STALLED and not self.group.stall.pending
 
     async def confirm_stall(self):
         """Tell whether the leader's log reaches no replica.
@@ -209,7 +209,7 @@
         )
         known = [status for status in statuses if status is not None]
         if any(status.received >= floor.position for status in known):
-            self.group.stall.forget()
+            self.group.stall.reset()
             return False
         held = {
             item.id: status.held_term
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -256,7 +256,7 @@
         if upstream != self.leader:
             if upstream != self.last_leader:
                 self.floors.forget()
-                self.group.stall.forget()
+                self.group.stall.reset()
             self.note("found", upstream, position=str(position))
             self.leader = self.last_leader = upstream
             self.found_at = self.clock()
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -56,7 +56,7 @@
 
     def stalled_for(self, delay):
         """Tell whether writes wait at the primary and none is answered."""
-        lasting = self.group.stall.lasting(self.around.clock())
+        lasting = self.group.stall.stalled_for(self.around.clock())
         return lasting >= self.around.tuning.stall_after + delay
 
     def left_unfinished(self, delay):
--- a/packages/sessions/gypsum_sessions/takeover/stall.py
+++ b/packages/sessions/gypsum_sessions/takeover/stall.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class WriteStall:
+class WriteStallDetector:
     """Writes and commits on their way to one group's leader.
 
     A leader that is cut from its replicas still answers everything but commits: it
@@ -12,29 +12,29 @@
     none is answered, is the sign.
     """
 
-    started: dict[int, float] = field(default_factory=dict)
-    numbers: int = 0
+    pending: dict[int, float] = field(default_factory=dict)
+    last_number: int = 0
     answered_at: float = float("-inf")
 
     def begin(self, now):
         """A write leaves; returns its number."""
-        self.numbers += 1
-        self.started[self.numbers] = now
-        return self.numbers
+        self.last_number += 1
+        self.pending[self.last_number] = now
+        return self.last_number
 
     def end(self, number, now):
         """A write was answered; one that never is stays, as the sign looked for."""
-        self.started.pop(number, None)
+        self.pending.pop(number, None)
         self.answered_at = now
 
-    def forget(self):
+    def reset(self):
         """Start anew: somebody else leads."""
-        self.started.clear()
+        self.pending.clear()
 
-    def lasting(self, now):
+    def stalled_for(self, now):
         """Seconds for which writes have waited and none was answered."""
-        waiting = [at for at in self.started.values() if at > self.answered_at]
-        self.started = {
-            number: at for number, at in self.started.items() if at in waiting
+        waiting = [at for at in self.pending.values() if at > self.answered_at]
+        self.pending = {
+            number: at for number, at in self.pending.items() if at in waiting
         }
         return now - min(waiting) if waiting else 0.0
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -13,7 +13,7 @@
 from gypsum_sessions.takeover.floors import Floors
 from gypsum_sessions.takeover.leader import LeaderWatch
 from gypsum_sessions.takeover.lease_view import LeaseView
-from gypsum_sessions.takeover.stall import WriteStall
+from gypsum_sessions.takeover.stall import WriteStallDetector
 from gypsum_sessions.tuning import SessionTuning
 from gypsum_sessions.upstreams.pool import ConnPool
 from gypsum_sessions.upstreams.upstream import Upstream
@@ -50,7 +50,7 @@
         self.upstreams = {}
         self.departed_at = {}
         self.tasks = set()
-        self.stall = WriteStall()
+        self.stall = WriteStallDetector()
         self.floors = Floors(keep=around.tuning.floor_keep)
         self.watch = LeaderWatch(
             group=self,
