--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -271,7 +271,7 @@
         if not await is_safe(group, reply.position, tx.upstream, patience=left):
             return unconfirmed()
         if reply.position is not None:
-            group.floors.learn(reply.position, asked_at)
+            group.floors.add(reply.position, asked_at)
         return reply
     group.watch.doubt(tx.upstream)
     return refused_commit(tx, reply)
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -94,7 +94,7 @@
             ):
                 return unconfirmed()
             if reply.position is not None:
-                group.floors.learn(reply.position, asked_at)
+                group.floors.add(reply.position, asked_at)
         if reply.refusal is Refusal.UNKNOWN_NAME:
             pooled.dirty = True
         return reply
--- a/packages/sessions/gypsum_sessions/takeover/floors.py
+++ b/packages/sessions/gypsum_sessions/takeover/floors.py
@@ -28,22 +28,22 @@
     commit: nothing that was acknowledged to us lies beyond it.
     """
 
-    def __init__(self, *, keep):
-        self.keep = keep
+    def __init__(self, *, retention):
+        self.retention = retention
         self.known = deque()
         self.highest = None
 
-    def learn(self, position, asked_at):
+    def add(self, position, asked_at):
         """Add what a proven leader showed to a question asked at `asked_at`."""
         known = self.known
         self.highest = later(self.highest, position)
         if known and known[-1].asked_at >= asked_at:
             return
         known.append(Floor(position=position, asked_at=asked_at))
-        while known[0].asked_at < asked_at - self.keep:
+        while known[0].asked_at < asked_at - self.retention:
             known.popleft()
 
-    def forget(self):
+    def clear(self):
         """Drop all: another upstream leads, and older tails may be rolled back.
 
         What goes wrong without it: reads ask for a position that no log will ever
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -255,14 +255,14 @@
         """An upstream has proven that it led after `asked_at`."""
         if upstream != self.leader:
             if upstream != self.last_leader:
-                self.floors.forget()
+                self.floors.clear()
                 self.group.stall.reset()
             self.note("found", upstream, position=str(position))
             self.leader = self.last_leader = upstream
             self.found_at = self.clock()
             self.leaderless_since = None
             self.announce()
-        self.floors.learn(position, asked_at)
+        self.floors.add(position, asked_at)
         for proof in self.proofs:
             if not proof.done():
                 proof.set_result(None)
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -51,7 +51,7 @@
         self.departed_at = {}
         self.tasks = set()
         self.stall = WriteStallDetector()
-        self.floors = Floors(keep=around.tuning.floor_keep)
+        self.floors = Floors(retention=around.tuning.floor_keep)
         self.watch = LeaderWatch(
             group=self,
             floors=self.floors,
--- a/tests/sessions/test_freshness.py
+++ b/tests/sessions/test_freshness.py
@@ -10,9 +10,9 @@
 
 
 def test_the_oldest_allowed_floor_is_taken():
-    floors = Floors(keep=10.0)
+    floors = Floors(retention=10.0)
     for at in range(5):
-        floors.learn(Position(term=1, index=at), float(at))
+        floors.add(Position(term=1, index=at), float(at))
     assert floors.since(2.0).position == Position(term=1, index=2)
     assert floors.since(4.5) is None
 
@@ -28,9 +28,7 @@
         rig = Rig()
         await rig.settle()
         watch = rig.proxy.groups["db"].watch
-        rig.proxy.groups["db"].floors.learn(
-            Position(term=1, index=99), rig.loop.clock()
-        )
+        rig.proxy.groups["db"].floors.add(Position(term=1, index=99), rig.loop.clock())
         rig.group.promote("u2")
         await asyncio.sleep(1.0)
         assert watch.leader == "u2"
