--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -14,7 +14,7 @@
 from gypsum_sessions.execution import writes
 from gypsum_sessions.takeover import reasons
 from gypsum_sessions.takeover.leader import LeaderWatch
-from gypsum_sessions.takeover.peer_reachability import Reach
+from gypsum_sessions.takeover.peer_reachability import PeerReachability
 from gypsum_sessions.takeover.replication import ReplicationControl
 from gypsum_sessions.tuning import SessionTuning
 from gypsum_sessions.upstreams import group
@@ -218,7 +218,7 @@
         (ReplicationControl, "spare_heir", no_heir)
     ),
     "helpers that reach the primary": lambda: without(
-        (Reach, "helpers", lambda self: [])
+        (PeerReachability, "helpers", lambda self: [])
     ),
     "refusal of a daemon that is cut off": lambda: without(
         (LeaderWatch, "cut_off", lambda self: False)
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -39,7 +39,16 @@
     """Watches one group and replaces its primary when it is out of service."""
 
     def __init__(
-        self, *, group, daemon, leases, lease_view, promoter, relist, recorder, reach
+        self,
+        *,
+        group,
+        daemon,
+        leases,
+        lease_view,
+        promoter,
+        relist,
+        recorder,
+        peer_reachability,
     ):
         self.group = group
         self.around = group.around
@@ -49,7 +58,10 @@
         self.promoter = promoter
         self.relist = relist
         self.reasons = Reasons(
-            group=group, lease_view=lease_view, recorder=recorder, reach=reach
+            group=group,
+            lease_view=lease_view,
+            recorder=recorder,
+            peer_reachability=peer_reachability,
         )
         self.lease = None
         self.control = ReplicationControl(group=group, log=self.log)
--- a/packages/sessions/gypsum_sessions/takeover/peer_reachability.py
+++ b/packages/sessions/gypsum_sessions/takeover/peer_reachability.py
@@ -8,30 +8,30 @@
 
 PART = "reach"
 # An owner that lives answers within a few milliseconds.
-ANSWER_TIME = 0.3
+ANSWER_TIMEOUT = 0.3
 
 
-class Reach:
+class PeerReachability:
     """Who of a group's other owners vouches for its primary; asked only when needed."""
 
     def __init__(self, *, group, peers):
         self.group = group
         self.around = group.around
         self.peers = peers
-        self.seen = {}
+        self.vouched_at = {}
 
     def helpers(self):
         """Owners that have lately proven the primary; none while we do so ourselves."""
         if self.group.watch.leader:
             return []
-        return usable_helpers(self.seen, self.around.clock())
+        return usable_helpers(self.vouched_at, self.around.clock())
 
     async def run(self):
         """Ask the other owners while we know of no primary, for ever."""
         watch = self.group.watch
         while True:
             if watch.leader:
-                self.seen.clear()
+                self.vouched_at.clear()
                 await watch.wait_change(ASK_EVERY)
                 continue
             if not watch.last_leader:
@@ -57,10 +57,10 @@
         """Ask one owner whom it has proven to lead, and when."""
         asked_at = self.around.clock()
         try:
-            link = await self.peers.link(name, ANSWER_TIME)
+            link = await self.peers.link(name, ANSWER_TIMEOUT)
             answer = await link.ask(
                 lambda call: LeaderQuestion(call=call, group=self.group.name),
-                timeout=ANSWER_TIME,
+                timeout=ANSWER_TIMEOUT,
             )
         except PeerLost:
             return
@@ -69,4 +69,4 @@
                 self.around.log(
                     PART, "another daemon leads on", group=self.group.name, by=name
                 )
-            self.seen[name] = asked_at - answer.proof_age
+            self.vouched_at[name] = asked_at - answer.proof_age
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -19,8 +19,8 @@
 class Reasons:
     """Looks at one group for a reason to act."""
 
-    def __init__(self, *, group, lease_view, recorder, reach):
-        self.reach = reach
+    def __init__(self, *, group, lease_view, recorder, peer_reachability):
+        self.peer_reachability = peer_reachability
         self.group = group
         self.around = group.around
         self.lease_view = lease_view
@@ -49,7 +49,11 @@
     def lost_for(self, delay):
         """Tell whether nobody has led for long enough, and nobody may do so unseen."""
         since = self.group.watch.leaderless_since
-        if since is None or self.group.watch.hidden() or self.reach.helpers():
+        if (
+            since is None
+            or self.group.watch.hidden()
+            or self.peer_reachability.helpers()
+        ):
             return False
         lost = self.around.clock() - since
         return lost >= self.around.tuning.suspect_after + delay
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -4,7 +4,7 @@
 from gypsum_sessions.callers.access import LocalAccess
 from gypsum_sessions.daemons.remote import RemoteAccess
 from gypsum_sessions.takeover.attempt import Takeover
-from gypsum_sessions.takeover.peer_reachability import Reach
+from gypsum_sessions.takeover.peer_reachability import PeerReachability
 from gypsum_sessions.upstreams.group import Group
 
 PART = "hosting"
@@ -69,7 +69,9 @@
             return group
         group = Group(spec=spec, around=self.proxy.around)
         self.groups[spec.name] = group
-        reach = self.reaches[spec.name] = Reach(group=group, peers=self.proxy.peers)
+        reach = self.reaches[spec.name] = PeerReachability(
+            group=group, peers=self.proxy.peers
+        )
         self.takeovers[spec.name] = Takeover(
             group=group,
             daemon=self.proxy.name,
@@ -78,7 +80,7 @@
             promoter=self.proxy.promoter,
             relist=self.proxy.relist,
             recorder=self.proxy.recorder,
-            reach=reach,
+            peer_reachability=reach,
         )
         self.proxy.refresh_members(spec.name)
         self.tasks[spec.name] = [
