--- a/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
+++ b/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
@@ -213,7 +213,7 @@
             # What goes wrong without it: a daemon that has just started is asked first,
             # as before, and statements wait for its proof beside owners that have one.
             return "no primary was proven here yet"
-        if group.watch.lost_for() > LOST_FOR:
+        if group.watch.leaderless_for() > LOST_FOR:
             # What goes wrong without it: the primary is cut off from one owner, which
             # waits for the next one; callers come back through other daemons, and all
             # of these send their workspace's work to the same owner.
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -50,7 +50,7 @@
     """Set the position that the job's read has to show; False if none is proven."""
     around = group.around
     wait = job.left(around.clock) * around.tuning.leader_wait_share
-    floor = await group.watch.floor_since(job.arrived - job.route.max_age, wait)
+    floor = await group.watch.wait_floor(job.arrived - job.route.max_age, wait)
     if floor is None:
         return False
     job.floor_age = around.clock() - floor.asked_at
@@ -219,7 +219,7 @@
         raise
     except UpstreamError as exc:
         item.failed(exc, clock(), around.tuning)
-        group.watch.doubt(item.id)
+        group.watch.recheck(item.id)
         around.log(
             PART,
             "attempt failed",
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -104,7 +104,7 @@
             return unconfirmable(around.tuning)
         if await begin_at(group, tx, job, item, BEGIN_WRITING):
             return None
-        group.watch.doubt(item.id)
+        group.watch.recheck(item.id)
         await asyncio.sleep(BUSY_PAUSE)
     return no_leader(around.tuning)
 
@@ -182,14 +182,14 @@
         async with joined(group, tx):
             reply = await ask_until_run(group, tx, job)
     except UpstreamError as exc:
-        group.watch.doubt(tx.upstream)
+        group.watch.recheck(tx.upstream)
         await abandon(group, tx)
         return aborted(str(exc))
     if reply.ok and reply.state is SessionState.IN_TRANSACTION:
         return reply
     await close(group, tx)
     if reply.refusal is Refusal.READ_ONLY:
-        group.watch.doubt(tx.upstream)
+        group.watch.recheck(tx.upstream)
     return aborted(f"{reply.refusal} {reply.detail}")
 
 
@@ -248,7 +248,7 @@
         if number:
             group.stall.end(number, group.around.clock())
     except UpstreamError as exc:
-        group.watch.doubt(tx.upstream)
+        group.watch.recheck(tx.upstream)
         await abandon(group, tx)
         group.around.log(
             PART,
@@ -273,7 +273,7 @@
         if reply.position is not None:
             group.floors.add(reply.position, asked_at)
         return reply
-    group.watch.doubt(tx.upstream)
+    group.watch.recheck(tx.upstream)
     return refused_commit(tx, reply)
 
 
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -56,7 +56,7 @@
         if reply.refusal is Refusal.BUSY:
             item.turns.queue.turned_away(clock())
         else:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
         await asyncio.sleep(REFUSED_PAUSE)
     if last is None:
         return no_leader(around.tuning)
@@ -75,7 +75,7 @@
         try:
             await level(group, job, pooled)
         except UpstreamError as exc:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
             raise NotSent(str(exc)) from exc
         asked_at = clock()
         number = group.stall.begin(asked_at)
@@ -84,7 +84,7 @@
                 job.statement, timeout=job.left(clock), request=job.request
             )
         except UpstreamError as exc:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
             return lost_write(group, job, item, exc)
         group.stall.end(number, clock())
         if reply.ok:
@@ -159,7 +159,7 @@
                 workspace=job.workspace,
             )
         except UpstreamError as exc:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
             raise NotSent(str(exc)) from exc
         try:
             await pooled.conn.ask(ROLLBACK, timeout=tuning.ping_timeout)
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -310,7 +310,7 @@
         paused = await self.control.pause_all(
             old,
             step_down=reason is Reason.LEAVES,
-            sure=self.group.watch.led_lately(old),
+            sure=self.group.watch.led_recently(old),
         )
         if paused is None:
             return ""
@@ -409,7 +409,7 @@
         except UpstreamError:
             return False
         if position is not None:
-            self.group.watch.proven(item.id, position, asked_at)
+            self.group.watch.record_proof(item.id, position, asked_at)
         return position is not None
 
     async def resume_all(self):
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -20,7 +20,7 @@
 
 PART = "leader"
 # How often those who wait for a leader look whether it is worth it, seconds.
-CUT_LOOK = 0.1
+CUT_OFF_CHECK_INTERVAL = 0.1
 
 
 async def prove_leads(conn, *, timeout):
@@ -58,14 +58,14 @@
         self.leader = ""
         self.leaderless_since = None
         self.changed = asyncio.Event()
-        self.wanted = asyncio.Event()
-        self.proofs = []
-        self.asking = {}
+        self.proof_requested = asyncio.Event()
+        self.proof_waiters = []
+        self.pending_probes = {}
         self.last_leader = ""
-        self.full_at = float("-inf")
-        self.found_at = float("-inf")
+        self.connection_limit_at = float("-inf")
+        self.leader_since = float("-inf")
 
-    def note(self, event, upstream, **fields):
+    def log_event(self, event, upstream, **fields):
         """Write one line about this group."""
         self.log(PART, event, group=self.group.name, upstream=upstream, **fields)
 
@@ -78,7 +78,7 @@
             left = deadline - self.clock()
             if left <= 0 or self.cut_off():
                 return ""
-            await self.wait_change(min(left, CUT_LOOK))
+            await self.wait_change(min(left, CUT_OFF_CHECK_INTERVAL))
         return self.leader
 
     def cut_off(self):
@@ -98,7 +98,7 @@
         except TimeoutError:
             return
 
-    async def floor_since(self, not_before, timeout):
+    async def wait_floor(self, not_before, timeout):
         """A floor asked for at or after a time; None if no leader proves one."""
         deadline = self.clock() + timeout
         while True:
@@ -108,21 +108,21 @@
             left = deadline - self.clock()
             if left <= 0 or self.cut_off():
                 return None
-            await self.wait_proof(min(left, CUT_LOOK))
+            await self.wait_proof(min(left, CUT_OFF_CHECK_INTERVAL))
 
     async def wait_proof(self, timeout):
         """Ask for a proof now, and wait for it."""
         proof = asyncio.get_running_loop().create_future()
-        self.proofs.append(proof)
-        self.wanted.set()
+        self.proof_waiters.append(proof)
+        self.proof_requested.set()
         try:
             async with asyncio.timeout(timeout):
                 await proof
         except TimeoutError:
             return
         finally:
-            if proof in self.proofs:
-                self.proofs.remove(proof)
+            if proof in self.proof_waiters:
+                self.proof_waiters.remove(proof)
 
     def proof_age(self):
         """Seconds since the leader was last proven; None if nobody leads."""
@@ -131,30 +131,30 @@
             return None
         return self.clock() - newest.asked_at
 
-    def lost_for(self):
+    def leaderless_for(self):
         """Seconds for which nobody has been proven to lead; 0 while somebody is."""
         if self.leader or self.leaderless_since is None:
             return 0.0
         return self.clock() - self.leaderless_since
 
-    def led_lately(self, upstream):
+    def led_recently(self, upstream):
         """Tell whether a member was the last to prove its lead, and not long ago."""
         newest = self.floors.newest
         known = newest is not None and upstream == self.last_leader
         return known and self.clock() - newest.asked_at < self.tuning.led_lately
 
-    def hidden(self):
+    def leader_may_be_at_limit(self):
         """Tell whether a member that takes no further connection may be the leader.
 
         What goes wrong without it: all daemons come back at once while an upstream
         still counts their old connections; nobody can ask it, and it is replaced.
         """
-        return self.clock() - self.full_at < self.tuning.suspect_after
+        return self.clock() - self.connection_limit_at < self.tuning.suspect_after
 
-    def doubt(self, upstream):
+    def recheck(self, upstream):
         """A statement was refused or lost at an upstream: look at once."""
         if upstream == self.leader:
-            self.wanted.set()
+            self.proof_requested.set()
 
     # The loop
 
@@ -165,9 +165,9 @@
                 await self.step()
             except UpstreamError as exc:
                 self.log(PART, "proof failed", group=self.group.name, error=str(exc))
-            await self.pause()
+            await self.wait_until_due()
 
-    async def pause(self):
+    async def wait_until_due(self):
         """Wait until the next proof is due or wanted."""
         searching = not self.leader
         delay = self.tuning.search_every if searching else self.tuning.ping_every
@@ -176,24 +176,24 @@
             return
         try:
             async with asyncio.timeout(delay):
-                await self.wanted.wait()
+                await self.proof_requested.wait()
         except TimeoutError:
             return
 
     async def step(self):
         """One proof, or one round of search."""
-        self.wanted.clear()
+        self.proof_requested.clear()
         if not self.group.upstreams:
             # Without members there is nothing that could be missing a leader.
             self.leaderless_since = None
             return
         began = self.clock()
-        if self.leader and await self.try_target(self.leader):
+        if self.leader and await self.prove_target(self.leader):
             return
-        self.lose(began)
+        self.mark_lost(began)
         await self.search()
 
-    async def try_target(self, target):
+    async def prove_target(self, target):
         """Ask for a proof, on a fresh connection if the one at hand is silent."""
         item = self.group.upstreams.get(target)
         if item is None:
@@ -210,19 +210,19 @@
         try:
             result = await self.ask_member(item, getting)
         except UpstreamBusy:
-            return self.keep_busy(item.id)
+            return self.still_leads_when_busy(item.id)
         except UpstreamRefused as exc:
             if not exc.at_limit:
                 return None
-            self.full_at = self.clock()
+            self.connection_limit_at = self.clock()
             item.reached(self.clock())
-            return self.keep_busy(item.id)
+            return self.still_leads_when_busy(item.id)
         except UpstreamError as exc:
-            self.note("no proof", item.id, error=str(exc))
+            self.log_event("no proof", item.id, error=str(exc))
             return None
         if result is None:
             return False
-        self.proven(*result)
+        self.record_proof(*result)
         return True
 
     async def ask_member(self, item, getting):
@@ -239,7 +239,7 @@
         item.reached(self.clock())
         return None if position is None else (item.id, position, asked_at)
 
-    def keep_busy(self, target):
+    def still_leads_when_busy(self, target):
         """Tell whether a leader whose queue is full is still taken for one.
 
         What goes wrong without it: a burst fills the queue, the proof is turned
@@ -251,33 +251,33 @@
         since = newest.asked_at if newest else self.clock()
         return self.clock() - since < self.tuning.busy_limit
 
-    def proven(self, upstream, position, asked_at):
+    def record_proof(self, upstream, position, asked_at):
         """An upstream has proven that it led after `asked_at`."""
         if upstream != self.leader:
             if upstream != self.last_leader:
                 self.floors.clear()
                 self.group.stall.reset()
-            self.note("found", upstream, position=str(position))
+            self.log_event("found", upstream, position=str(position))
             self.leader = self.last_leader = upstream
-            self.found_at = self.clock()
+            self.leader_since = self.clock()
             self.leaderless_since = None
-            self.announce()
+            self.notify_change()
         self.floors.add(position, asked_at)
-        for proof in self.proofs:
+        for proof in self.proof_waiters:
             if not proof.done():
                 proof.set_result(None)
-        self.proofs = []
+        self.proof_waiters = []
 
-    def lose(self, since):
+    def mark_lost(self, since):
         """The leader, if there was one, is not proven since a time."""
         if self.leaderless_since is None:
             self.leaderless_since = since
         if self.leader:
-            self.note("lost", self.leader)
+            self.log_event("lost", self.leader)
             self.leader = ""
-            self.announce()
+            self.notify_change()
 
-    def announce(self):
+    def notify_change(self):
         """Wake those who wait for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -289,31 +289,31 @@
         upstream that is silent would hide for its whole timeout that another leads.
         """
         for item in self.group.upstreams.values():
-            if item.id not in self.asking:
-                self.ask_in_background(item)
+            if item.id not in self.pending_probes:
+                self.probe_in_background(item)
         until = self.clock() + self.tuning.search_every
-        while self.asking and not self.leader and self.clock() < until:
+        while self.pending_probes and not self.leader and self.clock() < until:
             await asyncio.wait(
-                list(self.asking.values()),
+                list(self.pending_probes.values()),
                 timeout=until - self.clock(),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             # Let what is done be taken in before the next look.
             await asyncio.sleep(0)
 
-    def ask_in_background(self, item):
+    def probe_in_background(self, item):
         """Ask one member; a proof is taken in whenever it comes."""
-        task = asyncio.create_task(self.ask_quietly(item))
-        self.asking[item.id] = task
+        task = asyncio.create_task(self.probe(item))
+        self.pending_probes[item.id] = task
 
         def answered(task):
-            self.asking.pop(item.id, None)
+            self.pending_probes.pop(item.id, None)
             if not task.cancelled() and task.exception() is None and task.result():
-                self.found(*task.result())
+                self.take_search_result(*task.result())
 
         task.add_done_callback(answered)
 
-    async def ask_quietly(self, item):
+    async def probe(self, item):
         """Ask one member of which a search knows nothing; None for any failure."""
         timeout = self.tuning.ping_timeout
         getting = item.pool.acquire(values={}, timeout=timeout, first=True)
@@ -321,13 +321,13 @@
             return await self.ask_member(item, getting)
         except UpstreamError as exc:
             if isinstance(exc, UpstreamRefused) and exc.at_limit:
-                self.full_at = self.clock()
+                self.connection_limit_at = self.clock()
                 item.reached(self.clock())
             return None
 
-    def found(self, upstream, position, asked_at):
+    def take_search_result(self, upstream, position, asked_at):
         """A search was answered by a member that leads."""
         newest = self.floors.newest
         if self.leader and newest and newest.asked_at >= asked_at:
             return
-        self.proven(upstream, position, asked_at)
+        self.record_proof(upstream, position, asked_at)
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -51,7 +51,7 @@
         since = self.group.watch.leaderless_since
         if (
             since is None
-            or self.group.watch.hidden()
+            or self.group.watch.leader_may_be_at_limit()
             or self.peer_reachability.helpers()
         ):
             return False
@@ -97,7 +97,9 @@
         return worth_changing(
             behind_for=behind_for - delay,
             pressed_for=leader.turns.queue.pressed_for(now),
-            led_for=min(self.lease_view.age(group.name), now - group.watch.found_at),
+            led_for=min(
+                self.lease_view.age(group.name), now - group.watch.leader_since
+            ),
         )
 
     def successors(self, leader):
--- a/tests/sessions/test_peer_reachability.py
+++ b/tests/sessions/test_peer_reachability.py
@@ -151,7 +151,7 @@
         access = one.access("db")
         assert access.elsewhere() is not None
         rig.group["u1"].crash()
-        other.groups["db"].watch.lose(rig.loop.clock())
+        other.groups["db"].watch.mark_lost(rig.loop.clock())
         reply = await rig.caller("primary", one).send("WRITE a 1")
         assert reply.refusal is not Refusal.BUSY or "no owner" not in reply.detail
 
