--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -215,7 +215,7 @@
         (reasons, "worth_changing", lambda **seen: False)
     ),
     "handover while the primary serves": lambda: without(
-        (ReplicationControl, "spare_heir", no_heir)
+        (ReplicationControl, "prepare_handover", no_heir)
     ),
     "helpers that reach the primary": lambda: without(
         (PeerReachability, "helpers", lambda self: [])
--- a/packages/policy/gypsum_policy/succession.py
+++ b/packages/policy/gypsum_policy/succession.py
@@ -50,7 +50,7 @@
     out, for different members, let the second cut off what the first one acknowledged
     as primary.
     """
-    if any(item.upstream == ordered and item.held_before for item in paused):
+    if any(item.upstream == ordered and item.already_paused for item in paused):
         return ordered
     best = max(
         paused,
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -300,7 +300,7 @@
         time a primary leaves.
         """
         if reason in HANDOVERS and self.group.watch.leader == old:
-            found = await self.control.spare_heir(old, self.ordered)
+            found = await self.control.prepare_handover(old, self.ordered)
             if found is not None:
                 heir, paused = found
                 self.log("handing over", upstream=heir, token=self.lease.token)
@@ -310,7 +310,7 @@
         paused = await self.control.pause_all(
             old,
             step_down=reason is Reason.LEAVES,
-            sure=self.group.watch.led_recently(old),
+            led_recently=self.group.watch.led_recently(old),
         )
         if paused is None:
             return ""
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -14,19 +14,19 @@
 from gypsum_sessions.upstreams.borrow import borrowed
 
 # Unanswered or refused commands to a member are repeated this often per round.
-COMMAND_TRIES = 2
+COMMAND_ATTEMPTS = 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Paused:
+class PausedReplica:
     """A member whose replication is paused, and its status then.
 
-    `held_before` says that it was paused already, so that its log has not grown.
+    With `already_paused` it was paused before this round, so its log has not grown.
     """
 
     upstream: str
     leaving: bool
-    held_before: bool = False
+    already_paused: bool = False
     status: UpstreamStatus
 
 
@@ -41,23 +41,25 @@
         self.around = group.around
         self.log = log
         self.paused = {}
-        self.missing = []
+        self.unresponsive = []
 
-    async def pause_all(self, old, *, step_down, sure=True):
+    async def pause_all(self, old_primary, *, step_down, led_recently=True):
         """Pause all replicas; their statuses, or None if one did not answer.
 
-        `old` is the primary that is replaced and need not answer; unless we are `sure`
-        that it led a moment ago, it is paused like the others if it turns out to be a
+        `old_primary` is being replaced and need not answer. Unless it `led_recently`,
+        it is asked first, and is paused like the others if it turns out to be a
         replica.
         """
-        others = [item for item in self.group.upstreams.values() if item.id != old]
-        if not sure and await self.follows(old):
+        others = [
+            item for item in self.group.upstreams.values() if item.id != old_primary
+        ]
+        if not led_recently and await self.is_replica(old_primary):
             others = list(self.group.upstreams.values())
         if not others:
             return None
         statuses = await asyncio.gather(*(self.status_of(item) for item in others))
         if any(status is None for status in statuses):
-            self.note_missing(
+            self.log_unresponsive(
                 [
                     item.id
                     for item, status in zip(others, statuses, strict=True)
@@ -70,9 +72,9 @@
             self.log("another member leads", statuses=str(statuses))
             return None
         term = max(status.term for status in statuses) + 1
-        if step_down and old in self.group.upstreams:
+        if step_down and old_primary in self.group.upstreams:
             await self.command(
-                self.group.upstreams[old],
+                self.group.upstreams[old_primary],
                 Statement(kind=StatementKind.STEP_DOWN, term=term),
             )
             await asyncio.sleep(self.around.tuning.handover_pause)
@@ -80,16 +82,16 @@
         if paused is None:
             return None
         return [
-            Paused(
+            PausedReplica(
                 upstream=item.id,
                 leaving=not item.member.stays,
-                held_before=before.held_term > 0,
+                already_paused=before.held_term > 0,
                 status=paused[item.id],
             )
             for item, before in zip(others, statuses, strict=True)
         ]
 
-    async def spare_heir(self, old, heir=""):
+    async def prepare_handover(self, old_primary, pending=""):
         """Pause all replicas but the one that leads next: (its id, all), or None.
 
         The primary goes on: what it acknowledges from now on the heir has received, for
@@ -97,24 +99,28 @@
         nothing that is acknowledged is missing when it leads. `heir` is the one of an
         order that may still be carried out.
         """
-        others = [item for item in self.group.upstreams.values() if item.id != old]
+        others = [
+            item for item in self.group.upstreams.values() if item.id != old_primary
+        ]
         statuses = await asyncio.gather(*(self.status_of(item) for item in others))
         known = [status for status in statuses if status is not None]
         if len(known) < len(others) or any(status.leads for status in known):
             self.log("no heir, not all replicas answer", statuses=str(statuses))
             return None
         found = [
-            Paused(upstream=item.id, leaving=not item.member.stays, status=status)
+            PausedReplica(
+                upstream=item.id, leaving=not item.member.stays, status=status
+            )
             for item, status in zip(others, known, strict=True)
         ]
-        chosen = heir or choose_heir(found)
+        chosen = pending or choose_heir(found)
         if chosen not in {item.id for item in others}:
             self.log("no heir that stays")
             return None
         held = [item for item in others if item.id != chosen]
         term = max(status.term for status in known) + 1
         paused = await self.pause(held, term)
-        if paused is None or not await self.has_all(chosen, paused):
+        if paused is None or not await self.wait_caught_up(chosen, paused):
             return None
         return chosen, paused
 
@@ -129,28 +135,28 @@
             return None
         return {item.id: status for item, status in zip(items, answers, strict=True)}
 
-    async def has_all(self, heir, paused):
+    async def wait_caught_up(self, target, paused):
         """Wait until the heir has received what the paused members have."""
         longest = max((status.received for status in paused.values()), default=None)
         until = self.around.clock() + self.around.tuning.heir_wait
         while self.around.clock() < until:
-            item = self.group.upstreams.get(heir)
+            item = self.group.upstreams.get(target)
             status = await self.status_of(item) if item is not None else None
             if status is None or status.held_term or status.leads:
                 return False
             if longest is None or status.received >= longest:
                 return True
             await asyncio.sleep(self.around.tuning.confirm_pause)
-        self.log("the heir lacks what others have", heir=heir, longest=str(longest))
+        self.log("the heir lacks what others have", heir=target, longest=str(longest))
         return False
 
-    async def follows(self, old):
+    async def is_replica(self, old_primary):
         """Tell whether a former primary answers and says that it is a replica.
 
         What goes wrong without the question: it has come back as a replica of a primary
         that we never saw, and holds the only copy of a commit.
         """
-        item = self.group.upstreams.get(old)
+        item = self.group.upstreams.get(old_primary)
         if item is None:
             return False
         try:
@@ -160,11 +166,11 @@
             return False
         return status is not None and not status.leads
 
-    def note_missing(self, silent):
+    def log_unresponsive(self, silent):
         """Say whom an attempt waits for, when that changes."""
-        if silent != self.missing:
+        if silent != self.unresponsive:
             self.log("waiting for members", silent=silent)
-        self.missing = silent
+        self.unresponsive = silent
 
     async def status_of(self, item):
         """A member's status, or None."""
@@ -172,7 +178,7 @@
 
     async def command(self, item, statement):
         """Give a member a command; its status then, or None if it did not answer."""
-        for _ in range(COMMAND_TRIES):
+        for _ in range(COMMAND_ATTEMPTS):
             try:
                 return await self.command_once(item, statement)
             except UpstreamError as exc:
--- a/tests/sessions/breaks.py
+++ b/tests/sessions/breaks.py
@@ -12,7 +12,7 @@
 from gypsum_sessions.execution import reads, transactions, writes
 from gypsum_sessions.replies import Refusal, Reply
 from gypsum_sessions.takeover.floors import Floors
-from gypsum_sessions.takeover.replication import Paused, ReplicationControl
+from gypsum_sessions.takeover.replication import PausedReplica, ReplicationControl
 from gypsum_sessions.upstreams import pooled
 from gypsum_sessions.upstreams.pool import ConnPool
 
@@ -27,12 +27,12 @@
     return self.known[0] if self.known else None
 
 
-async def pause_nobody(self, old, *, step_down, sure=True):
+async def pause_nobody(self, old_primary, *, step_down, led_recently=True):
     """Promote by statuses alone, with replication running, whoever answers."""
-    others = [item for item in self.group.upstreams.values() if item.id != old]
+    others = [item for item in self.group.upstreams.values() if item.id != old_primary]
     found = [(item, await self.status_of(item)) for item in others]
     known = [
-        Paused(upstream=item.id, leaving=False, status=status)
+        PausedReplica(upstream=item.id, leaving=False, status=status)
         for item, status in found
         if status is not None
     ]
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -204,7 +204,7 @@
         rig.group["u3"].deaf = True
         refresh(rig)
         again = await control.pause_all("u1", step_down=False)
-        held = {item.upstream: item.held_before for item in again}
+        held = {item.upstream: item.already_paused for item in again}
         assert held == {"u2": True, "u3@2": False}
         assert choose_successor(again, "u3") == "u2"
 
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -7,7 +7,7 @@
 from gypsum_policy.succession import choose_successor
 from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
 from gypsum_sessions.replies import Refusal, UpstreamStatus
-from gypsum_sessions.takeover.replication import Paused
+from gypsum_sessions.takeover.replication import PausedReplica
 from tests.sessions.fakegroup import PROMOTE_TIME
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
@@ -28,7 +28,7 @@
         held_term=2,
         lag_ms=0.0,
     )
-    return Paused(upstream=name, leaving=leaving, status=status)
+    return PausedReplica(upstream=name, leaving=leaving, status=status)
 
 
 def test_the_longest_log_is_chosen_even_if_it_leaves():
