--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -21,18 +21,18 @@
 
 PART = "takeover"
 # How often a group is looked at, seconds.
-LOOK_EVERY = 0.1
+CHECK_INTERVAL = 0.1
 # Pause between two rounds of an attempt, seconds.
-ROUND_PAUSE = 0.1
+ROUND_INTERVAL = 0.1
 # An attempt that found no way in this time is given up, seconds.
-ATTEMPT_LIMIT = 12.0
+ATTEMPT_TIMEOUT = 12.0
 # ... and one that is for the load's sake sooner: callers wait for replicas meanwhile.
 # A promotion takes up to one second of it.
-BEHIND_LIMIT = 3.0
+BEHIND_ATTEMPT_TIMEOUT = 3.0
 # Reasons to replace a primary that serves.
-HANDOVERS = frozenset({Reason.LEAVES, Reason.BEHIND})
+HANDOVER_REASONS = frozenset({Reason.LEAVES, Reason.BEHIND})
 # A member that crashed is back within this, seconds: ten ordinary restarts.
-DEPARTED_WAIT = 15.0
+DEPARTED_MEMBER_TIMEOUT = 15.0
 
 
 class Takeover:
@@ -64,11 +64,11 @@
             peer_reachability=peer_reachability,
         )
         self.lease = None
-        self.control = ReplicationControl(group=group, log=self.log)
-        self.ordered = ""
-        self.unanswered = set()
+        self.replication = ReplicationControl(group=group, log=self.log)
+        self.pending_order = ""
+        self.unanswered_orders = set()
         self.waiting_for = []
-        self.rest_until = 0.0
+        self.backoff_until = 0.0
         self.promotions = 0
         self.attempting = False
 
@@ -79,11 +79,11 @@
     async def run(self):
         """Look at the group for ever."""
         while True:
-            await asyncio.sleep(LOOK_EVERY)
-            resting = self.around.clock() < self.rest_until
+            await asyncio.sleep(CHECK_INTERVAL)
+            resting = self.around.clock() < self.backoff_until
             reason = None if resting else self.reasons.find()
             if reason is None:
-                reason = Reason.RESUME if self.may_resume() else None
+                reason = Reason.RESUME if self.should_resume() else None
             if reason is None:
                 continue
             self.attempting = True
@@ -91,16 +91,16 @@
                 await self.attempt(reason)
             except (LeaseError, UpstreamError) as exc:
                 self.log("attempt ended", error=str(exc))
-                self.rest_until = self.around.clock() + self.around.tuning.lease_rest
+                self.backoff_until = self.around.clock() + self.around.tuning.lease_rest
             finally:
                 self.attempting = False
 
-    def may_resume(self):
+    def should_resume(self):
         """Tell whether replicas that we paused should go on."""
         return bool(
             self.group.watch.leader
-            and self.control.paused
-            and self.around.clock() >= self.rest_until
+            and self.replication.paused
+            and self.around.clock() >= self.backoff_until
         )
 
     def place(self):
@@ -115,29 +115,29 @@
             await self.resume_all()
             return
         if reason is Reason.UNSETTLED:
-            await self.finish_for_another()
+            await self.finish_abandoned_takeover()
             return
         if reason is Reason.STALLED and not await self.confirm_stall():
             return
         if not await self.take_lease(reason):
             return
-        self.ordered = ""
-        self.unanswered = set()
-        await self.refresh(reason)
-        old = self.group.presumed_leader()
-        limit = BEHIND_LIMIT if reason is Reason.BEHIND else ATTEMPT_LIMIT
+        self.pending_order = ""
+        self.unanswered_orders = set()
+        await self.refresh_members(reason)
+        old_primary = self.group.presumed_leader()
+        limit = BEHIND_ATTEMPT_TIMEOUT if reason is Reason.BEHIND else ATTEMPT_TIMEOUT
         deadline = self.around.clock() + limit
         while self.around.clock() < deadline:
-            if self.settled(reason, old):
+            if self.reason_resolved(reason, old_primary):
                 self.log("given up, the reason is gone", reason=str(reason))
                 await self.settle()
                 return
             if self.superseded():
                 self.log("given up, another daemon took over")
                 return
-            if await self.try_once(reason, old):
+            if await self.run_round(reason, old_primary):
                 return
-            await asyncio.sleep(ROUND_PAUSE)
+            await asyncio.sleep(ROUND_INTERVAL)
         self.log("attempt timed out")
         await self.settle()
 
@@ -146,14 +146,14 @@
 
         One for the member that leads changes nothing when it is carried out again.
         """
-        if self.unanswered - {self.group.watch.leader} or self.superseded():
+        if self.unanswered_orders - {self.group.watch.leader} or self.superseded():
             return
         lease = await self.leases.settle(self.group.name, self.lease)
         if lease is not None:
             self.lease = lease
             self.lease_view.record(self.group.name, lease)
 
-    async def finish_for_another(self):
+    async def finish_abandoned_takeover(self):
         """Confirm the primary under a new token, and let paused replicas go on."""
         replicas = [
             item
@@ -161,11 +161,11 @@
             if item.id != self.group.watch.leader
         ]
         statuses = await asyncio.gather(
-            *(self.control.status_of(item) for item in replicas)
+            *(self.replication.status_of(item) for item in replicas)
         )
         for item, status in zip(replicas, statuses, strict=True):
             if status is not None and status.held_term:
-                self.control.paused[item.id] = status.held_term
+                self.replication.paused[item.id] = status.held_term
         self.lease = None
         await self.resume_all()
 
@@ -173,7 +173,7 @@
         """Tell whether a higher token than ours is known."""
         return self.lease_view.token(self.group.name) > self.lease.token
 
-    async def refresh(self, reason):
+    async def refresh_members(self, reason):
         """Read the members anew before anything is decided about them.
 
         What goes wrong without it: a daemon that was cut off from the store does not
@@ -184,12 +184,12 @@
         if reason is Reason.NO_PRIMARY:
             await self.group.watch.search()
 
-    def settled(self, reason, old):
+    def reason_resolved(self, reason, old_primary):
         """Tell whether the reason for an attempt is gone."""
         leader = self.group.watch.leader
-        if leader and leader != old:
+        if leader and leader != old_primary:
             return True
-        if self.ordered:
+        if self.pending_order:
             # An order without an answer may still be carried out: it is seen through,
             # or the old primary would serve until it falls, and lose what it did.
             return False
@@ -217,7 +217,7 @@
             return False
         await asyncio.sleep(self.around.tuning.stall_look)
         statuses = await asyncio.gather(
-            *(self.control.status_of(item) for item in replicas)
+            *(self.replication.status_of(item) for item in replicas)
         )
         known = [status for status in statuses if status is not None]
         if any(status.received >= floor.position for status in known):
@@ -229,11 +229,11 @@
             if status is not None and status.held_term
         }
         if held:
-            await self.found_paused(held)
+            await self.handle_paused_replicas(held)
             return False
         return bool(known)
 
-    async def found_paused(self, held):
+    async def handle_paused_replicas(self, held):
         """Replicas are paused: by a takeover that goes on, or by a forgotten order.
 
         What goes wrong without the wait: a rival has paused them and its promotion
@@ -243,9 +243,9 @@
         age = self.lease_view.age(self.group.name)
         self.log("replicas found paused", held=held, lease_age=round(age, 2))
         if age < self.around.tuning.settled_after:
-            self.rest_until = self.around.clock() + ROUND_PAUSE
+            self.backoff_until = self.around.clock() + ROUND_INTERVAL
             return
-        self.control.paused.update(held)
+        self.replication.paused.update(held)
         self.lease = None
         await self.resume_all()
 
@@ -258,74 +258,76 @@
         foreign = seen.holder not in ("", self.daemon)
         if foreign and self.lease_view.age(name) < tuning.lease_rest:
             self.log("left to its holder", reason=reason, holder=seen.holder)
-            self.rest_until = self.around.clock() + tuning.lease_look
+            self.backoff_until = self.around.clock() + tuning.lease_look
             return False
         lease = await self.leases.take(name, self.daemon, seen)
         if lease is None:
             self.log("lease taken by another", reason=reason)
-            self.rest_until = self.around.clock() + tuning.lease_look
+            self.backoff_until = self.around.clock() + tuning.lease_look
             return False
         self.lease = lease
         self.lease_view.record(name, lease)
         self.log("lease taken", reason=reason, token=lease.token, after=seen.holder)
         return True
 
-    async def try_once(self, reason, old):
+    async def run_round(self, reason, old_primary):
         """One round: pause, choose, order; tell whether the attempt is over."""
-        best = await self.choose(reason, old)
-        if not best:
+        candidate = await self.choose_candidate(reason, old_primary)
+        if not candidate:
             return False
-        outcome = await self.order(best)
-        self.log("promotion ordered", upstream=best, outcome=str(outcome))
-        self.ordered = best if outcome is PromoteOutcome.UNANSWERED else ""
-        self.note_outcome(best, outcome)
+        outcome = await self.order_promotion(candidate)
+        self.log("promotion ordered", upstream=candidate, outcome=str(outcome))
+        self.pending_order = candidate if outcome is PromoteOutcome.UNANSWERED else ""
+        self.record_outcome(candidate, outcome)
         if outcome is PromoteOutcome.NOT_DONE:
             return False
-        if outcome is not PromoteOutcome.REFUSED and await self.wait_led_by(
-            best, self.patience(outcome)
+        if outcome is not PromoteOutcome.REFUSED and await self.wait_until_leads(
+            candidate, self.promotion_timeout(outcome)
         ):
             self.promotions += 1
-            self.control.paused.clear()
-            self.rest_until = self.around.clock() + self.around.tuning.lease_look
+            self.replication.paused.clear()
+            self.backoff_until = self.around.clock() + self.around.tuning.lease_look
             await self.settle()
             return True
         # The token is spent: the order may still be carried out, or was refused.
         return not await self.take_lease("again")
 
-    async def choose(self, reason, old):
+    async def choose_candidate(self, reason, old_primary):
         """Pause who has to be and choose who leads; empty if nobody can yet.
 
         A primary that serves is replaced while it does. What goes wrong when it steps
         down first: writes stand still for as long as a promotion takes, a second, each
         time a primary leaves.
         """
-        if reason in HANDOVERS and self.group.watch.leader == old:
-            found = await self.control.prepare_handover(old, self.ordered)
+        if reason in HANDOVER_REASONS and self.group.watch.leader == old_primary:
+            found = await self.replication.prepare_handover(
+                old_primary, self.pending_order
+            )
             if found is not None:
                 heir, paused = found
                 self.log("handing over", upstream=heir, token=self.lease.token)
                 return heir
             if reason is Reason.BEHIND:
                 return ""
-        paused = await self.control.pause_all(
-            old,
+        paused = await self.replication.pause_all(
+            old_primary,
             step_down=reason is Reason.LEAVES,
-            led_recently=self.group.watch.led_recently(old),
+            led_recently=self.group.watch.led_recently(old_primary),
         )
         if paused is None:
             return ""
-        best = choose_successor(paused, self.ordered)
-        if self.lacks_commits(paused, best, old):
+        candidate = choose_successor(paused, self.pending_order)
+        if self.may_lack_commits(paused, candidate, old_primary):
             return ""
         self.log(
             "promoting",
-            upstream=best,
+            upstream=candidate,
             token=self.lease.token,
             received={item.upstream: str(item.status.received) for item in paused},
         )
-        return best
+        return candidate
 
-    async def order(self, upstream):
+    async def order_promotion(self, upstream):
         """Order that a member leads; NOT_DONE if it is not known any more.
 
         What goes wrong without the look: it started again meanwhile, empty, and the
@@ -338,7 +340,7 @@
             self.group.name, member.called, self.daemon, self.lease.token
         )
 
-    def note_outcome(self, upstream, outcome):
+    def record_outcome(self, upstream, outcome):
         """Remember orders that may still be carried out.
 
         An order that was accepted shows that the platform has seen our token: earlier
@@ -346,11 +348,11 @@
         upstream does not run.
         """
         if outcome is PromoteOutcome.UNANSWERED:
-            self.unanswered.add(upstream)
+            self.unanswered_orders.add(upstream)
         elif outcome is PromoteOutcome.ACCEPTED:
-            self.unanswered.clear()
+            self.unanswered_orders.clear()
 
-    def lacks_commits(self, paused, best, old):
+    def may_lack_commits(self, paused, candidate, old_primary):
         """Tell whether the longest log lacks what a member that is gone may have.
 
         What goes wrong without it: the primary and the only replica that has a commit
@@ -360,22 +362,24 @@
         what was never acknowledged.
         """
         shown = self.group.floors.highest
-        since = self.around.clock() - DEPARTED_WAIT
-        departed = [name for name in self.group.departed_since(since) if name != old]
+        since = self.around.clock() - DEPARTED_MEMBER_TIMEOUT
+        departed = [
+            name for name in self.group.departed_since(since) if name != old_primary
+        ]
         received = {item.upstream: item.status.received for item in paused}
-        if shown is None or not departed or received[best] >= shown:
+        if shown is None or not departed or received[candidate] >= shown:
             return False
         if departed != self.waiting_for:
             self.waiting_for = departed
             self.log(
                 "waiting for departed members",
                 departed=departed,
-                longest=str(received[best]),
+                longest=str(received[candidate]),
                 shown=str(shown),
             )
         return True
 
-    def patience(self, outcome):
+    def promotion_timeout(self, outcome):
         """How long an ordered promotion is waited for.
 
         One without an answer is ordered again soon, under a new token: carried out
@@ -386,19 +390,19 @@
             return tuning.unanswered_wait
         return tuning.promotion_wait
 
-    async def wait_led_by(self, upstream, patience):
+    async def wait_until_leads(self, upstream, timeout):
         """Wait until a member leads; tell whether it does."""
-        deadline = self.around.clock() + patience
+        deadline = self.around.clock() + timeout
         while self.around.clock() < deadline:
             item = self.group.upstreams.get(upstream)
             if item is None:
                 return False
-            if self.group.watch.leader == upstream or await self.leads(item):
+            if self.group.watch.leader == upstream or await self.check_leads(item):
                 return True
-            await asyncio.sleep(ROUND_PAUSE / 2)
+            await asyncio.sleep(ROUND_INTERVAL / 2)
         return False
 
-    async def leads(self, item):
+    async def check_leads(self, item):
         """Ask a member whether it leads."""
         try:
             async with borrowed(self.around, item, urgent=True) as conn:
@@ -424,16 +428,16 @@
         )
         if self.lease_view.token(self.group.name) > ours:
             self.log("left paused for the daemon that took over")
-            self.control.paused.clear()
+            self.replication.paused.clear()
             return
         leader = self.group.watch.leader
         if not leader or not await self.take_lease(Reason.RESUME):
             return
-        outcome = await self.order(leader)
+        outcome = await self.order_promotion(leader)
         self.log("primary confirmed", upstream=leader, outcome=str(outcome))
-        self.note_outcome(leader, outcome)
+        self.record_outcome(leader, outcome)
         if outcome is not PromoteOutcome.ACCEPTED:
-            self.rest_until = self.around.clock() + self.around.tuning.lease_look
+            self.backoff_until = self.around.clock() + self.around.tuning.lease_look
             return
-        await self.control.resume_all()
+        await self.replication.resume_all()
         await self.settle()
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -33,12 +33,12 @@
             return None
         delay = self.place() * self.around.tuning.rank_delay
         if not self.group.watch.leader:
-            return Reason.NO_PRIMARY if self.lost_for(delay) else None
-        if self.stalled_for(delay):
+            return Reason.NO_PRIMARY if self.primary_lost(delay) else None
+        if self.writes_stalled(delay):
             return Reason.STALLED
-        if self.left_unfinished(delay):
+        if self.takeover_unfinished(delay):
             return Reason.UNSETTLED
-        if self.primary_leaves(delay):
+        if self.primary_leaving(delay):
             return Reason.LEAVES
         return Reason.BEHIND if self.replicas_behind(delay) else None
 
@@ -46,7 +46,7 @@
         """This daemon's place among the group's owners."""
         return self.around.daemons.place(self.group.spec)
 
-    def lost_for(self, delay):
+    def primary_lost(self, delay):
         """Tell whether nobody has led for long enough, and nobody may do so unseen."""
         since = self.group.watch.leaderless_since
         if (
@@ -58,12 +58,12 @@
         lost = self.around.clock() - since
         return lost >= self.around.tuning.suspect_after + delay
 
-    def stalled_for(self, delay):
+    def writes_stalled(self, delay):
         """Tell whether writes wait at the primary and none is answered."""
-        lasting = self.group.stall.stalled_for(self.around.clock())
-        return lasting >= self.around.tuning.stall_after + delay
+        stalled_for = self.group.stall.stalled_for(self.around.clock())
+        return stalled_for >= self.around.tuning.stall_after + delay
 
-    def left_unfinished(self, delay):
+    def takeover_unfinished(self, delay):
         """Tell whether somebody's takeover ended without a word, a while ago.
 
         What goes wrong without a look: its replicas stay paused, and members that have
@@ -74,7 +74,7 @@
             return False
         return self.lease_view.age(name) >= self.around.tuning.settled_after + delay
 
-    def primary_leaves(self, delay):
+    def primary_leaving(self, delay):
         """Tell whether the primary leaves and another member could lead."""
         member = self.group.member(self.group.watch.leader)
         if member is None or member.leaving_since is None:
--- a/tests/sessions/test_departed.py
+++ b/tests/sessions/test_departed.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsum_sessions.takeover.attempt import DEPARTED_WAIT
+from gypsum_sessions.takeover.attempt import DEPARTED_MEMBER_TIMEOUT
 from tests.sessions.chaos import keep_listed
 from tests.sessions.fakegroup import PROMOTE_TIME
 from tests.sessions.rig import Rig
@@ -101,7 +101,7 @@
         start_listing(rig)
         await rig.settle()
         await lose_the_only_copy(rig)
-        await asyncio.sleep(DEPARTED_WAIT + 12.0)
+        await asyncio.sleep(DEPARTED_MEMBER_TIMEOUT + 12.0)
         assert [name for name, _ in rig.group.promotions] == ["u2"]
 
     run(main())
@@ -121,7 +121,7 @@
         start_listing(rig)
         await rig.settle()
         cut, other = rig.proxies
-        other.takeovers["db"].rest_until = float("inf")
+        other.takeovers["db"].backoff_until = float("inf")
         cut.around.dialer.dialer.cut.add("u2")
         for conn in list(rig.group["u2"].conns):
             conn.silent = conn.dialer is cut.around.dialer.dialer
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -60,7 +60,7 @@
         rig.group["u2"].log = rig.group["u2"].log[:1]
         rig.group["u3"].log = rig.group["u3"].log[:2]
         takeover = rig.proxy.takeovers["db"]
-        assert await takeover.control.prepare_handover("u1", "u2") is None
+        assert await takeover.replication.prepare_handover("u1", "u2") is None
 
     run(main())
 
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -177,7 +177,7 @@
         takeover = rig.proxy.takeovers["db"]
         rig.group["u2"].restart_empty()
         refresh(rig)
-        await takeover.order("u2")
+        await takeover.order_promotion("u2")
         assert rig.promoter.orders == []
 
     run(main())
@@ -197,7 +197,7 @@
         told = []
         await write_for(rig, rig.proxy, 1.0, told)
         rig.group["u1"].dark = True
-        control = rig.proxy.takeovers["db"].control
+        control = rig.proxy.takeovers["db"].replication
         paused = await control.pause_all("u1", step_down=False)
         assert {item.upstream for item in paused} == {"u2", "u3"}
         rig.group["u3"].restart_empty()
--- a/tests/sessions/test_recorder.py
+++ b/tests/sessions/test_recorder.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from gypsum_sessions.replies import Refusal
-from gypsum_sessions.takeover.attempt import LOOK_EVERY as TAKEOVER_LOOK
+from gypsum_sessions.takeover.attempt import CHECK_INTERVAL as TAKEOVER_CHECK_INTERVAL
 from gypsum_sessions.upstreams.recorder import (
     FIRST_RECORD_AFTER,
     LOOK_EVERY,
@@ -184,7 +184,7 @@
         await asyncio.sleep(3.0)
         assert rig.leases.calls == 0
         rig.proxy.recall("db", rig.group.listing())
-        await asyncio.sleep(TAKEOVER_LOOK + 2.0)
+        await asyncio.sleep(TAKEOVER_CHECK_INTERVAL + 2.0)
         assert len(rig.group.promotions) == 1
 
     run(main())
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -142,7 +142,7 @@
         rig.group["u1"].dark = False
         takeover = rig.proxy.takeovers["db"]
         await asyncio.sleep(2.0)
-        assert takeover.unanswered
+        assert takeover.unanswered_orders
         assert not rig.leases.lease.settled
         await asyncio.sleep(20.0)
         assert rig.leases.lease.settled
@@ -176,11 +176,11 @@
 def test_only_an_accepted_order_ends_those_before_it():
     async def main():
         takeover = Rig().proxy.takeovers["db"]
-        takeover.note_outcome("u2", PromoteOutcome.UNANSWERED)
-        takeover.note_outcome("u3", PromoteOutcome.REFUSED)
-        takeover.note_outcome("u3", PromoteOutcome.NOT_DONE)
-        assert takeover.unanswered == {"u2"}
-        takeover.note_outcome("u3", PromoteOutcome.ACCEPTED)
-        assert takeover.unanswered == set()
+        takeover.record_outcome("u2", PromoteOutcome.UNANSWERED)
+        takeover.record_outcome("u3", PromoteOutcome.REFUSED)
+        takeover.record_outcome("u3", PromoteOutcome.NOT_DONE)
+        assert takeover.unanswered_orders == {"u2"}
+        takeover.record_outcome("u3", PromoteOutcome.ACCEPTED)
+        assert takeover.unanswered_orders == set()
 
     run(main())
