--- a/packages/sessions/gypsum_sessions/takeover/__init__.py
+++ b/packages/sessions/gypsum_sessions/takeover/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads a group: proofs, floors, leases, and replacing a primary."""
+"""Leadership of a group: proofs, read floors, leases and replacing a primary."""
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -1,12 +1,14 @@
-"""Replacing a group's primary: when, by whom, and by which of its replicas.
+"""Replaces a group's primary with one of its replicas.
 
-A replica may only lead if its log holds every acknowledged commit. A commit is
-acknowledged once one replica has received it. So replication is paused on every
-replica first: from then on nothing more can be acknowledged, and the longest of the
-paused logs holds all that was. If one replica cannot be paused, nothing is promoted.
+A replica may only be promoted if its log holds every acknowledged commit. A commit is
+acknowledged once one replica has received it. Replication is therefore paused on every
+replica first: from then on no further commit can be acknowledged, and the longest of
+the paused logs holds all acknowledged commits. If one replica cannot be paused, nothing
+is promoted.
 
-The lease restrains, the fence makes safe: the store gives each take-over a higher
-token, and orders with a lower one than was seen are refused.
+The lease reduces concurrent takeovers but does not exclude them. Safety comes from
+fencing: the store gives each takeover a higher token, and the platform refuses orders
+whose token is lower than the highest one it has seen.
 """
 
 import asyncio
@@ -20,23 +22,29 @@
 from gypsum_sessions.upstreams.borrow import borrowed
 
 PART = "takeover"
-# How often a group is looked at, seconds.
+# Interval between checks of a group, seconds.
 CHECK_INTERVAL = 0.1
-# Pause between two rounds of an attempt, seconds.
+# Delay between two rounds of an attempt, seconds.
 ROUND_INTERVAL = 0.1
-# An attempt that found no way in this time is given up, seconds.
+# An attempt that has not succeeded within this time is abandoned, seconds.
 ATTEMPT_TIMEOUT = 12.0
-# ... and one that is for the load's sake sooner: callers wait for replicas meanwhile.
-# A promotion takes up to one second of it.
+# An attempt because all replicas are behind is abandoned sooner, since callers wait for
+# replicas meanwhile. A promotion takes up to one second of it.
 BEHIND_ATTEMPT_TIMEOUT = 3.0
-# Reasons to replace a primary that serves.
+# Reasons to replace a primary that still serves.
 HANDOVER_REASONS = frozenset({Reason.LEAVES, Reason.BEHIND})
-# A member that crashed is back within this, seconds: ten ordinary restarts.
+# How long members that went off the list are waited for, seconds. A member that crashed
+# is back within this time: it equals ten ordinary restarts.
 DEPARTED_MEMBER_TIMEOUT = 15.0
 
 
 class Takeover:
-    """Watches one group and replaces its primary when it is out of service."""
+    """Watches one group and replaces its primary when there is a reason to.
+
+    `pending_order` is the member of a promotion order that got no answer.
+    `unanswered_orders` holds all members whose orders may still be carried out. No
+    attempt starts before `backoff_until`.
+    """
 
     def __init__(
         self,
@@ -73,11 +81,11 @@
         self.attempting = False
 
     def log(self, event, **fields):
-        """Write one line about this group."""
+        """Log an event with the group's name."""
         self.around.log(PART, event, group=self.group.name, **fields)
 
     async def run(self):
-        """Look at the group for ever."""
+        """Check the group periodically and act on what is found, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
             resting = self.around.clock() < self.backoff_until
@@ -90,13 +98,13 @@
             try:
                 await self.attempt(reason)
             except (LeaseError, UpstreamError) as exc:
-                self.log("attempt ended", error=str(exc))
+                self.log("attempt aborted", error=str(exc))
                 self.backoff_until = self.around.clock() + self.around.tuning.lease_rest
             finally:
                 self.attempting = False
 
     def should_resume(self):
-        """Tell whether replicas that we paused should go on."""
+        """Tell whether replicas that this daemon paused should resume replication."""
         return bool(
             self.group.watch.leader
             and self.replication.paused
@@ -104,13 +112,17 @@
         )
 
     def place(self):
-        """This daemon's place in the order for the group."""
+        """This daemon's position in the order in which owners take over."""
         return self.reasons.place()
 
     # One attempt
 
     async def attempt(self, reason):
-        """Take the lease, pause the replicas, promote the longest log."""
+        """Take the lease, pause the replicas and promote the one with the longest log.
+
+        The attempt ends when a member was promoted, the reason is gone, another daemon
+        took over, or the time is over.
+        """
         if reason is Reason.RESUME:
             await self.resume_all()
             return
@@ -129,11 +141,13 @@
         deadline = self.around.clock() + limit
         while self.around.clock() < deadline:
             if self.reason_resolved(reason, old_primary):
-                self.log("given up, the reason is gone", reason=str(reason))
+                self.log(
+                    "attempt abandoned: reason no longer applies", reason=str(reason)
+                )
                 await self.settle()
                 return
             if self.superseded():
-                self.log("given up, another daemon took over")
+                self.log("attempt abandoned: another daemon took over")
                 return
             if await self.run_round(reason, old_primary):
                 return
@@ -142,9 +156,10 @@
         await self.settle()
 
     async def settle(self):
-        """Mark our lease as settled, unless an order of ours may still change anything.
+        """Mark our lease as settled unless one of our orders may still have an effect.
 
-        One for the member that leads changes nothing when it is carried out again.
+        An unanswered order for the member that leads already has no effect when it is
+        carried out later.
         """
         if self.unanswered_orders - {self.group.watch.leader} or self.superseded():
             return
@@ -154,7 +169,10 @@
             self.lease_view.record(self.group.name, lease)
 
     async def finish_abandoned_takeover(self):
-        """Confirm the primary under a new token, and let paused replicas go on."""
+        """Finish a takeover that its holder abandoned.
+
+        Confirms the primary under a new token and resumes the paused replicas.
+        """
         replicas = [
             item
             for item in self.group.upstreams.values()
@@ -170,42 +188,43 @@
         await self.resume_all()
 
     def superseded(self):
-        """Tell whether a higher token than ours is known."""
+        """Tell whether a token higher than ours is known."""
         return self.lease_view.token(self.group.name) > self.lease.token
 
     async def refresh_members(self, reason):
-        """Read the members anew before anything is decided about them.
+        """Read the member list again before deciding anything about the members.
 
-        What goes wrong without it: a daemon that was cut off from the store does not
-        know of a promotion and of members that joined meanwhile; it sees the old
-        primary dead, and deposes the new one.
+        A daemon that was cut off from the store does not know of a promotion or of
+        members that joined meanwhile. With its old list it would see that the old
+        primary is dead and depose the new one.
         """
         await self.relist()
         if reason is Reason.NO_PRIMARY:
             await self.group.watch.search()
 
     def reason_resolved(self, reason, old_primary):
-        """Tell whether the reason for an attempt is gone."""
+        """Tell whether the reason for an attempt no longer applies."""
         leader = self.group.watch.leader
         if leader and leader != old_primary:
             return True
         if self.pending_order:
-            # An order without an answer may still be carried out: it is seen through,
-            # or the old primary would serve until it falls, and lose what it did.
+            # An unanswered order may still be carried out, so the attempt continues.
+            # Otherwise the old primary would serve until the order takes effect, and
+            # the commits it acknowledged meanwhile would be lost.
             return False
         if reason is Reason.NO_PRIMARY:
             return bool(leader)
         if reason is Reason.BEHIND:
-            # A primary that is gone meanwhile is another reason.
+            # A primary lost meanwhile is a different reason.
             return not leader
         return reason is Reason.STALLED and not self.group.stall.pending
 
     async def confirm_stall(self):
         """Tell whether the leader's log reaches no replica.
 
-        What goes wrong without it: a single lost answer looks like a leader that is
-        cut from its group. Replicas that are merely paused, by an order that was
-        carried out late, are resumed instead.
+        A single lost answer looks the same as a leader that is cut off from its
+        replicas, so the replicas' received positions are checked. Replicas that are
+        only paused, by a command that was carried out late, are resumed instead.
         """
         floor = self.group.floors.newest
         replicas = [
@@ -234,11 +253,10 @@
         return bool(known)
 
     async def handle_paused_replicas(self, held):
-        """Replicas are paused: by a takeover that goes on, or by a forgotten order.
+        """Resume replicas that were found paused, unless a takeover may be under way.
 
-        What goes wrong without the wait: a rival has paused them and its promotion
-        is under way; resumed, they let the old primary acknowledge commits that the
-        new one will not have.
+        If another daemon has paused them and its promotion is under way, resuming them
+        would let the old primary acknowledge commits that the new one will not have.
         """
         age = self.lease_view.age(self.group.name)
         self.log("replicas found paused", held=held, lease_age=round(age, 2))
@@ -250,7 +268,7 @@
         await self.resume_all()
 
     async def take_lease(self, reason):
-        """Get a fresh token for this attempt; tell whether we have it."""
+        """Acquire the lease with a new token; tell whether that succeeded."""
         name, tuning = self.group.name, self.around.tuning
         found = await self.leases.read(name)
         self.lease_view.record(name, found)
@@ -271,7 +289,10 @@
         return True
 
     async def run_round(self, reason, old_primary):
-        """One round: pause, choose, order; tell whether the attempt is over."""
+        """Run one round of an attempt; tell whether the attempt is over.
+
+        A round pauses the replicas, chooses a candidate and orders its promotion.
+        """
         candidate = await self.choose_candidate(reason, old_primary)
         if not candidate:
             return False
@@ -289,24 +310,25 @@
             self.backoff_until = self.around.clock() + self.around.tuning.lease_look
             await self.settle()
             return True
-        # The token is spent: the order may still be carried out, or was refused.
+        # The token cannot be used again: the order was refused or may still be carried
+        # out.
         return not await self.take_lease("again")
 
     async def choose_candidate(self, reason, old_primary):
-        """Pause who has to be and choose who leads; empty if nobody can yet.
+        """Pause replicas and choose the member to promote; empty if none can be yet.
 
-        A primary that serves is replaced while it does. What goes wrong when it steps
-        down first: writes stand still for as long as a promotion takes, a second, each
-        time a primary leaves.
+        A primary that serves keeps serving until the promotion takes effect. If it
+        stepped down first, writes would stall for the duration of a promotion, about
+        a second, each time a primary leaves.
         """
         if reason in HANDOVER_REASONS and self.group.watch.leader == old_primary:
             found = await self.replication.prepare_handover(
                 old_primary, self.pending_order
             )
             if found is not None:
-                heir, paused = found
-                self.log("handing over", upstream=heir, token=self.lease.token)
-                return heir
+                target, paused = found
+                self.log("handing over", upstream=target, token=self.lease.token)
+                return target
             if reason is Reason.BEHIND:
                 return ""
         paused = await self.replication.pause_all(
@@ -328,10 +350,10 @@
         return candidate
 
     async def order_promotion(self, upstream):
-        """Order that a member leads; NOT_DONE if it is not known any more.
+        """Order a member's promotion; NOT_DONE if the member is no longer known.
 
-        What goes wrong without the look: it started again meanwhile, empty, and the
-        platform, which knows it by its name alone, promotes the empty one.
+        A member that restarted meanwhile is empty and has a new id. The platform knows
+        members by name only and would promote the empty one.
         """
         member = self.group.member(upstream)
         if member is None:
@@ -341,11 +363,11 @@
         )
 
     def record_outcome(self, upstream, outcome):
-        """Remember orders that may still be carried out.
+        """Keep track of orders that may still be carried out.
 
-        An order that was accepted shows that the platform has seen our token: earlier
-        orders are refused from then on. A refusal shows nothing, it may mean that the
-        upstream does not run.
+        An accepted order proves that the platform has seen our token, so it refuses
+        earlier orders from then on. A refusal proves nothing: the upstream may just not
+        be running.
         """
         if outcome is PromoteOutcome.UNANSWERED:
             self.unanswered_orders.add(upstream)
@@ -353,13 +375,13 @@
             self.unanswered_orders.clear()
 
     def may_lack_commits(self, paused, candidate, old_primary):
-        """Tell whether the longest log lacks what a member that is gone may have.
+        """Tell whether the longest log may lack commits that a departed member has.
 
-        What goes wrong without it: the primary and the only replica that has a commit
-        crash together; seconds later both are off the list, and one that was behind is
-        promoted. Members that do not come back are waited for within bounds. Where only
-        the old primary is gone, all replicas are paused and nothing can be missing but
-        what was never acknowledged.
+        Guards against data loss when the primary and the only replica that has a commit
+        crash together: seconds later both are off the list, and a replica that was
+        behind would be promoted. Departed members are waited for during
+        DEPARTED_MEMBER_TIMEOUT. If only the old primary is gone, all replicas are
+        paused and only commits that were never acknowledged can be missing.
         """
         shown = self.group.floors.highest
         since = self.around.clock() - DEPARTED_MEMBER_TIMEOUT
@@ -380,10 +402,11 @@
         return True
 
     def promotion_timeout(self, outcome):
-        """How long an ordered promotion is waited for.
+        """Seconds to wait until an ordered promotion shows.
 
-        One without an answer is ordered again soon, under a new token: carried out
-        seconds later, the first would meet logs that have grown past it.
+        After an unanswered order a new one is sent soon, under a higher token. If the
+        first were carried out seconds later, the other logs could have grown past that
+        of the promoted member.
         """
         tuning = self.around.tuning
         if outcome is PromoteOutcome.UNANSWERED:
@@ -391,7 +414,7 @@
         return tuning.promotion_wait
 
     async def wait_until_leads(self, upstream, timeout):
-        """Wait until a member leads; tell whether it does."""
+        """Wait until a member leads; False if it does not within `timeout` seconds."""
         deadline = self.around.clock() + timeout
         while self.around.clock() < deadline:
             item = self.group.upstreams.get(upstream)
@@ -403,7 +426,7 @@
         return False
 
     async def check_leads(self, item):
-        """Ask a member whether it leads."""
+        """Ask a member for a proof that it leads; False if it gives none."""
         try:
             async with borrowed(self.around, item, urgent=True) as conn:
                 asked_at = self.around.clock()
@@ -417,17 +440,18 @@
         return position is not None
 
     async def resume_all(self):
-        """Let paused replicas go on: the primary is back and was not replaced.
+        """Resume paused replicas once the primary is back and was not replaced.
 
-        Only while nobody took the lease after us: a rival relies on the pause. And
-        only after the primary was confirmed under a new token: an order of ours that
-        got no answer may be carried out seconds later, and must be refused then.
+        Nothing is resumed if another daemon took the lease after us, because its
+        takeover relies on the pause. The primary is confirmed under a new token first:
+        an unanswered order of ours may be carried out seconds later and must be refused
+        then.
         """
         ours = (
             self.lease.token if self.lease else self.lease_view.token(self.group.name)
         )
         if self.lease_view.token(self.group.name) > ours:
-            self.log("left paused for the daemon that took over")
+            self.log("replicas left paused: another daemon took over")
             self.replication.paused.clear()
             return
         leader = self.group.watch.leader
--- a/packages/sessions/gypsum_sessions/takeover/floors.py
+++ b/packages/sessions/gypsum_sessions/takeover/floors.py
@@ -1,10 +1,10 @@
-"""Floors: log positions that reads have to show.
+"""Read floors: log positions that the result of a read must reflect.
 
-A position that a proven leader showed to a question asked at time t covers every
-commit that was acknowledged before t. A read that may be as old as `max_age` needs
-such a position with t no earlier than its arrival less `max_age`; the upstream that
-runs it is told the position and refuses if its log lacks it. So no clock of another
-instance and no reported lag has to be right.
+If a proven leader reports a position in answer to a request sent at time t, that
+position covers every commit acknowledged before t. A read with a staleness bound of
+`max_age` needs a floor with t no earlier than the read's arrival minus `max_age`. The
+upstream that runs the read is sent the position and refuses if its log lacks it.
+Freshness therefore depends on no other instance's clock and on no reported lag.
 """
 
 from collections import deque
@@ -15,17 +15,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Floor:
-    """A position and the time of the question that it answered."""
+    """A log position and the time at which it was requested, in seconds."""
 
     position: Position
     asked_at: float
 
 
 class Floors:
-    """The floors known for one group, in the order of their questions.
+    """The floors known for one group, ordered by `asked_at`.
 
-    `highest` is the last position that the leader showed at all, in a proof or with a
-    commit: nothing that was acknowledged to us lies beyond it.
+    `retention` is how long floors are kept, seconds. `highest` is the highest position
+    that the leader reported, in a proof or with a commit; no commit acknowledged to
+    this daemon lies beyond it.
     """
 
     def __init__(self, *, retention):
@@ -34,7 +35,7 @@
         self.highest = None
 
     def add(self, position, asked_at):
-        """Add what a proven leader showed to a question asked at `asked_at`."""
+        """Add the position that a proven leader reported to a request at `asked_at`."""
         known = self.known
         self.highest = later(self.highest, position)
         if known and known[-1].asked_at >= asked_at:
@@ -44,18 +45,20 @@
             known.popleft()
 
     def clear(self):
-        """Drop all: another upstream leads, and older tails may be rolled back.
+        """Drop all floors because another upstream leads now.
 
-        What goes wrong without it: reads ask for a position that no log will ever
-        hold again, and every replica refuses them until the floor has aged out.
+        The end of the old leader's log may be rolled back. Reads would then require a
+        position that no log will ever hold again, and every replica would refuse them
+        until the floor expired.
         """
         self.known.clear()
         self.highest = None
 
     def since(self, not_before):
-        """The lowest floor asked for at or after a time, or None.
+        """The oldest floor asked for at or after `not_before`, or None.
 
-        The oldest that is allowed is taken: it lets the most replicas answer.
+        The oldest floor allowed is the lowest position, so the most replicas can serve
+        the read.
         """
         for floor in self.known:
             if floor.asked_at >= not_before:
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -1,9 +1,9 @@
-"""Finding out who leads a group, and proving it again and again.
+"""Finds the leader of a group and keeps verifying that it leads.
 
-An upstream proves that it leads by accepting BEGIN for a writing transaction. The
-position it shows with that is a floor. Proofs go before statements that wait for a
-connection and may open one beyond the pool's limit, so that long statements do not
-hold them up.
+An upstream proves that it leads by accepting BEGIN for a read-write transaction. The
+position in its reply is a read floor. Proofs take precedence over statements that wait
+for a connection and may open a connection beyond the pool's limit, so that long
+statements do not delay them.
 """
 
 import asyncio
@@ -19,14 +19,15 @@
 from gypsum_sessions.statements import BEGIN_WRITING, ROLLBACK
 
 PART = "leader"
-# How often those who wait for a leader look whether it is worth it, seconds.
+# How often tasks that wait for a leader check whether this daemon is cut off, seconds.
 CUT_OFF_CHECK_INTERVAL = 0.1
 
 
 async def prove_leads(conn, *, timeout):
-    """Ask an upstream to prove that it leads; its position, or None if it refuses.
+    """Ask an upstream for a proof that it leads: its position, or None if it does not.
 
-    Raises UpstreamLost or UpstreamSilent, and UpstreamBusy if it could not look.
+    Raises UpstreamLost or UpstreamSilent if there is no answer, and UpstreamBusy if the
+    upstream is too busy to run the statement.
     """
     begun, ended = await asyncio.gather(
         conn.ask(BEGIN_WRITING, timeout=timeout),
@@ -47,7 +48,13 @@
 
 
 class LeaderWatch:
-    """Keeps the leader of one group proven; the source of the group's floors."""
+    """Tracks the proven leader of one group and records the group's read floors.
+
+    `leader` is the id of the proven leader, empty if there is none. `last_leader` is
+    the last member that was proven. `leaderless_since` is the time since which no
+    leader has been proven, None while one is. `connection_limit_at` is when a member
+    last refused a connection because it was at its limit.
+    """
 
     def __init__(self, *, group, floors, clock, tuning, log):
         self.group = group
@@ -66,13 +73,13 @@
         self.leader_since = float("-inf")
 
     def log_event(self, event, upstream, **fields):
-        """Write one line about this group."""
+        """Log an event with the group's name and an upstream."""
         self.log(PART, event, group=self.group.name, upstream=upstream, **fields)
 
-    # For the rest of the daemon
+    # Used by other packages
 
     async def wait_leader(self, timeout):
-        """The proven leader's id, or empty if there is none in time."""
+        """The proven leader's id; empty if none is proven within `timeout` seconds."""
         deadline = self.clock() + timeout
         while not self.leader:
             left = deadline - self.clock()
@@ -82,7 +89,10 @@
         return self.leader
 
     def cut_off(self):
-        """Tell whether nobody leads and too few members are in reach to wait for it."""
+        """Tell whether nobody leads and too few members are reachable.
+
+        Waiting for a leader is then pointless.
+        """
         now, items = self.clock(), self.group.upstreams.values()
         since = self.leaderless_since
         if self.leader or since is None or now - since < OUT_OF_REACH:
@@ -90,7 +100,7 @@
         return is_cut_off([item.heard_at for item in items], now)
 
     async def wait_change(self, timeout):
-        """Wait until the leader is found or lost."""
+        """Wait until the leader is found or lost, for at most `timeout` seconds."""
         event = self.changed
         try:
             async with asyncio.timeout(timeout):
@@ -99,7 +109,7 @@
             return
 
     async def wait_floor(self, not_before, timeout):
-        """A floor asked for at or after a time; None if no leader proves one."""
+        """A floor asked for at or after `not_before`; None if there is none in time."""
         deadline = self.clock() + timeout
         while True:
             floor = self.floors.since(not_before)
@@ -111,7 +121,7 @@
             await self.wait_proof(min(left, CUT_OFF_CHECK_INTERVAL))
 
     async def wait_proof(self, timeout):
-        """Ask for a proof now, and wait for it."""
+        """Request a proof now and wait for it, for at most `timeout` seconds."""
         proof = asyncio.get_running_loop().create_future()
         self.proof_waiters.append(proof)
         self.proof_requested.set()
@@ -132,34 +142,35 @@
         return self.clock() - newest.asked_at
 
     def leaderless_for(self):
-        """Seconds for which nobody has been proven to lead; 0 while somebody is."""
+        """Seconds since a leader was last proven; 0 while one is proven."""
         if self.leader or self.leaderless_since is None:
             return 0.0
         return self.clock() - self.leaderless_since
 
     def led_recently(self, upstream):
-        """Tell whether a member was the last to prove its lead, and not long ago."""
+        """Tell whether a member was the last proven leader, and recently."""
         newest = self.floors.newest
         known = newest is not None and upstream == self.last_leader
         return known and self.clock() - newest.asked_at < self.tuning.led_lately
 
     def leader_may_be_at_limit(self):
-        """Tell whether a member that takes no further connection may be the leader.
+        """Tell whether a member at its connection limit may be the leader.
 
-        What goes wrong without it: all daemons come back at once while an upstream
-        still counts their old connections; nobody can ask it, and it is replaced.
+        When all daemons restart at once, an upstream still counts their old connections
+        and refuses new ones. No daemon can ask it for a proof then, and without this
+        check it would be replaced.
         """
         return self.clock() - self.connection_limit_at < self.tuning.suspect_after
 
     def recheck(self, upstream):
-        """A statement was refused or lost at an upstream: look at once."""
+        """Request a proof at once, after an upstream refused or lost a statement."""
         if upstream == self.leader:
             self.proof_requested.set()
 
     # The loop
 
     async def run(self):
-        """Prove the leader, or search for one, for ever."""
+        """Prove the leader, or search for one, until cancelled."""
         while True:
             try:
                 await self.step()
@@ -168,7 +179,7 @@
             await self.wait_until_due()
 
     async def wait_until_due(self):
-        """Wait until the next proof is due or wanted."""
+        """Wait until the next proof is due or requested."""
         searching = not self.leader
         delay = self.tuning.search_every if searching else self.tuning.ping_every
         if searching:
@@ -181,10 +192,10 @@
             return
 
     async def step(self):
-        """One proof, or one round of search."""
+        """Run one proof; search for a leader if there is none or it gives no proof."""
         self.proof_requested.clear()
         if not self.group.upstreams:
-            # Without members there is nothing that could be missing a leader.
+            # A group without members is not missing a leader.
             self.leaderless_since = None
             return
         began = self.clock()
@@ -194,19 +205,22 @@
         await self.search()
 
     async def prove_target(self, target):
-        """Ask for a proof, on a fresh connection if the one at hand is silent."""
+        """Ask for a proof; on a new connection if the pooled one gives no answer."""
         item = self.group.upstreams.get(target)
         if item is None:
             return False
         timeout = self.tuning.ping_timeout
-        at_hand = item.pool.acquire(values={}, timeout=timeout, first=True)
-        answer = await self.ask_leader(item, at_hand)
+        from_pool = item.pool.acquire(values={}, timeout=timeout, first=True)
+        answer = await self.ask_leader(item, from_pool)
         if answer is None:
             answer = await self.ask_leader(item, item.pool.open_fresh())
         return bool(answer)
 
     async def ask_leader(self, item, getting):
-        """Ask on a connection that is being got; None if that gave no answer."""
+        """Ask the leader for a proof: True if it leads, None if it gave no answer.
+
+        `getting` is the awaitable that yields the connection.
+        """
         try:
             result = await self.ask_member(item, getting)
         except UpstreamBusy:
@@ -228,7 +242,8 @@
     async def ask_member(self, item, getting):
         """Ask one member: (id, position, time asked), or None if it does not lead.
 
-        Raises UpstreamError if it gave no answer.
+        `getting` is the awaitable that yields the connection. Raises UpstreamError if
+        the member gave no answer.
         """
         pooled = await getting
         asked_at = self.clock()
@@ -240,10 +255,10 @@
         return None if position is None else (item.id, position, asked_at)
 
     def still_leads_when_busy(self, target):
-        """Tell whether a leader whose queue is full is still taken for one.
+        """Tell whether a member that is too busy for a proof still counts as leader.
 
-        What goes wrong without it: a burst fills the queue, the proof is turned
-        away, and a healthy primary is replaced at the worst moment.
+        A burst of load fills the leader's queue, so that the proof is refused. Without
+        this a healthy primary would be replaced under peak load.
         """
         if target != self.leader:
             return False
@@ -252,7 +267,7 @@
         return self.clock() - since < self.tuning.busy_limit
 
     def record_proof(self, upstream, position, asked_at):
-        """An upstream has proven that it led after `asked_at`."""
+        """Record that an upstream has proven to lead at some time after `asked_at`."""
         if upstream != self.leader:
             if upstream != self.last_leader:
                 self.floors.clear()
@@ -269,7 +284,7 @@
         self.proof_waiters = []
 
     def mark_lost(self, since):
-        """The leader, if there was one, is not proven since a time."""
+        """Record that no leader has been proven since a time."""
         if self.leaderless_since is None:
             self.leaderless_since = since
         if self.leader:
@@ -278,15 +293,16 @@
             self.notify_change()
 
     def notify_change(self):
-        """Wake those who wait for a change."""
+        """Wake all tasks that wait for a change of the leader."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def search(self):
-        """Ask all members at once who leads; the first proof ends the search.
+        """Ask all members concurrently for a proof; the first proof ends the search.
 
-        Members that still owe an answer are not asked again and not waited for: an
-        upstream that is silent would hide for its whole timeout that another leads.
+        Members with an unanswered probe are not probed again, and the search does not
+        wait for them: an unresponsive upstream would otherwise delay the discovery of
+        another leader by its whole timeout.
         """
         for item in self.group.upstreams.values():
             if item.id not in self.pending_probes:
@@ -298,11 +314,11 @@
                 timeout=until - self.clock(),
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            # Let what is done be taken in before the next look.
+            # Let the callbacks of finished probes run before the next check.
             await asyncio.sleep(0)
 
     def probe_in_background(self, item):
-        """Ask one member; a proof is taken in whenever it comes."""
+        """Probe one member; a proof is recorded whenever it arrives."""
         task = asyncio.create_task(self.probe(item))
         self.pending_probes[item.id] = task
 
@@ -314,7 +330,7 @@
         task.add_done_callback(answered)
 
     async def probe(self, item):
-        """Ask one member of which a search knows nothing; None for any failure."""
+        """Ask one member for a proof; None if it does not lead or on any failure."""
         timeout = self.tuning.ping_timeout
         getting = item.pool.acquire(values={}, timeout=timeout, first=True)
         try:
@@ -326,7 +342,7 @@
             return None
 
     def take_search_result(self, upstream, position, asked_at):
-        """A search was answered by a member that leads."""
+        """Record a proof found by a search, unless a newer one is known."""
         newest = self.floors.newest
         if self.leader and newest and newest.asked_at >= asked_at:
             return
--- a/packages/sessions/gypsum_sessions/takeover/lease_view.py
+++ b/packages/sessions/gypsum_sessions/takeover/lease_view.py
@@ -1,18 +1,20 @@
-"""The promotion leases as this daemon has seen them change."""
+"""A daemon's view of the promotion leases, with the times of their changes."""
 
 from dataclasses import dataclass, replace
 
 from gypsum_sessions.borders import PromotionLease
 
-# A takeover that began before this process may be under way this long, seconds.
+# A takeover that began before this process started counts as under way for this long
+# after the start, seconds.
 INITIAL_WINDOW = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SeenLease:
-    """A lease and when this daemon first saw it so, on its own clock.
+    """A lease and the time at which this daemon first saw it, on its own clock.
 
-    `chain_seen_at` is when it first saw any of the unsettled leases that led up to it.
+    `chain_seen_at` is the time at which this daemon first saw any lease of the chain:
+    the sequence of unsettled leases that ends with this one.
     """
 
     lease: PromotionLease
@@ -21,11 +23,16 @@
 
 
 class LeaseView:
-    """The newest lease of each group.
+    """The newest known lease of each group.
 
-    The store's clock and other daemons' clocks are not ours, so a lease's age is the
-    time since we saw it change. What goes wrong without an age: a daemon takes the
-    lease over while its holder waits for a promotion to show, and undoes its work.
+    The clocks of the store and of other daemons are not comparable with ours, so a
+    lease's age is the time since this daemon saw it change. The age keeps a daemon from
+    taking a lease over while its holder waits for a promotion to take effect, which
+    would undo that promotion.
+
+    `takeover_window` is how long a takeover may be under way, seconds.
+    `known_revision` is the store's revision up to which all leases are known, -1 before
+    the first.
     """
 
     def __init__(self, *, clock, takeover_window):
@@ -35,20 +42,24 @@
         self.known_revision = -1
 
     def record_revision(self, revision):
-        """All leases up to a revision of the store have been taken in."""
+        """Note that all leases up to a revision of the store are known."""
         self.known_revision = max(self.known_revision, revision)
 
     def record_initial(self, group, lease):
-        """Take in a lease as it was found at the start.
+        """Record a lease that was found when the process started.
 
-        Nobody knows since when it is so. A promotion takes up to a second and this
-        process took a part of that to start, so little of a rest is left.
+        Its age is unknown. A promotion takes up to a second, and starting the process
+        took part of that, so only INITIAL_WINDOW of the takeover window is left.
         """
         found = self.clock() - self.takeover_window + INITIAL_WINDOW
         self.seen[group] = SeenLease(lease=lease, seen_at=found, chain_seen_at=found)
 
     def record(self, group, lease):
-        """Take in a lease as the store has it; older news and "nobody" are ignored."""
+        """Record a lease as read from the store.
+
+        Leases older than the known one, and the empty lease that nobody ever held
+        (token 0), are ignored.
+        """
         if not lease.token:
             return
         known = self.seen.get(group)
@@ -60,10 +71,11 @@
             self.seen[group] = replace(known, lease=lease)
 
     def newest(self, group, seen):
-        """A lease as the store has it, or the newer one that the store has lost.
+        """The lease read from the store, or a known newer one that the store has lost.
 
-        A lost one comes with the store's revision, on which the next write depends. Its
-        holder may still be at work, so its rest and its chain of takeovers count.
+        A lost lease is returned with the store's revision, because the next write is
+        conditional on it. Its holder may still be active, so its age and its chain of
+        takeovers still count.
         """
         known = self.seen.get(group)
         if known is None or known.lease.token <= seen.token:
@@ -72,43 +84,44 @@
         return replace(lost, revision=seen.revision, chain_began=lost.began)
 
     def token(self, group):
-        """The newest token known, 0 if there is none."""
+        """The highest known token, 0 if there is none."""
         known = self.seen.get(group)
         return known.lease.token if known else 0
 
     def unsettled(self, group):
-        """Tell whether orders under the newest token may still have an effect."""
+        """Tell whether orders under the highest known token may still take effect."""
         known = self.seen.get(group)
         return known is not None and known.lease.token > 0 and not known.lease.settled
 
     def under_way(self, group):
-        """Tell whether a takeover may be under way: unsettled, and not for long."""
+        """Tell whether the lease is unsettled and still within the takeover window."""
         return self.unsettled(group) and self.age(group) < self.takeover_window
 
     def member_known(self, group, joined):
-        """Tell whether each takeover under way has a member on its list.
-
-        A takeover takes the lease, then reads the list. So it knows of all that were
-        listed before its lease was taken. One that we have not heard of yet has a
-        lease newer than all that we know. What goes wrong when a takeover counts as
-        over after some time: its holder died, an order of it is carried out ten seconds
-        late, and cuts off what was acknowledged through a member that it did not know.
+        """Tell whether every unsettled takeover has a member on its list.
+
+        A takeover takes the lease and then reads the member list, so it knows all
+        members listed before its lease was taken. `joined` is the store's revision at
+        which the member was listed. A takeover not seen yet has a lease newer than
+        `known_revision`. An unsettled takeover never counts as over because of its age:
+        its holder may have died and its order be carried out ten seconds late, which
+        would discard commits acknowledged through a member that it did not know.
         """
         if self.unsettled(group) and joined >= self.seen[group].lease.began:
             return False
         return joined <= self.known_revision
 
     def connection_trusted(self, group, opened_at):
-        """Tell whether a replica's word counts over a connection opened at a time.
+        """Tell whether a replica may confirm commits over a connection.
 
-        What goes wrong without it: a replica that a takeover has paused restarts, is
-        paused no longer, receives a commit of the old primary and confirms it; the
-        takeover promotes another. A restart ends connections, so one that is older
-        than the takeover shows that there was none.
+        A replica that a takeover has paused may restart, which ends the pause, and then
+        receive and confirm a commit of the old primary while the takeover promotes
+        another member. A restart closes all connections, so a connection opened before
+        the takeover began proves that the replica has not restarted since.
         """
         return not self.unsettled(group) or opened_at < self.seen[group].chain_seen_at
 
     def age(self, group):
-        """Seconds since the lease changed hands, as far as we saw."""
+        """Seconds since this daemon saw the lease change; infinite if none is known."""
         known = self.seen.get(group)
         return self.clock() - known.seen_at if known else float("inf")
--- a/packages/sessions/gypsum_sessions/takeover/peer_reachability.py
+++ b/packages/sessions/gypsum_sessions/takeover/peer_reachability.py
@@ -1,4 +1,4 @@
-"""Other owners that reach a group's primary while this daemon does not."""
+"""Finds other owners that reach a group's primary while this daemon does not."""
 
 import asyncio
 
@@ -7,12 +7,16 @@
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "reach"
-# An owner that lives answers within a few milliseconds.
+# A running owner answers within a few milliseconds. Seconds.
 ANSWER_TIMEOUT = 0.3
 
 
 class PeerReachability:
-    """Who of a group's other owners vouches for its primary; asked only when needed."""
+    """Tracks which other owners of a group have recently proven its primary.
+
+    The owners are asked only while this daemon has no proven primary. `vouched_at`
+    maps an owner's name to the time of its latest proof, on this daemon's clock.
+    """
 
     def __init__(self, *, group, peers):
         self.group = group
@@ -21,13 +25,13 @@
         self.vouched_at = {}
 
     def helpers(self):
-        """Owners that have lately proven the primary; none while we do so ourselves."""
+        """Owners that recently proved the primary; none while this daemon proves it."""
         if self.group.watch.leader:
             return []
         return usable_helpers(self.vouched_at, self.around.clock())
 
     async def run(self):
-        """Ask the other owners while we know of no primary, for ever."""
+        """Ask the other owners whenever no primary is proven here, until cancelled."""
         watch = self.group.watch
         while True:
             if watch.leader:
@@ -35,16 +39,17 @@
                 await watch.wait_change(ASK_EVERY)
                 continue
             if not watch.last_leader:
-                # The first search mostly ends sooner: when all daemons come back
-                # together each would dial all others before they can answer. Later on
-                # the answer is needed at once, before a takeover begins.
+                # After a start, wait first: the first search usually ends sooner, and
+                # when all daemons restart together each would dial all others before
+                # they can answer. Later the answer is needed at once, before a takeover
+                # begins.
                 await watch.wait_change(ASK_EVERY)
             if not watch.leader:
                 await self.ask_all()
             await watch.wait_change(ASK_EVERY)
 
     async def ask_all(self):
-        """Ask every other owner; those that are silent are not waited for."""
+        """Ask every other owner in the background, without waiting for the answers."""
         daemons = self.around.daemons
         names = [
             name
@@ -54,7 +59,7 @@
         self.group.keep_tasks({asyncio.create_task(self.ask(name)) for name in names})
 
     async def ask(self, name):
-        """Ask one owner whom it has proven to lead, and when."""
+        """Ask one owner for the age of its latest proof of the primary."""
         asked_at = self.around.clock()
         try:
             link = await self.peers.link(name, ANSWER_TIMEOUT)
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -1,4 +1,4 @@
-"""Why a group's primary should be replaced now, and by this daemon. No I/O."""
+"""Decides whether this daemon should replace a group's primary now. No I/O."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Reason(StrEnum):
-    """Why a primary is replaced."""
+    """Reason for acting on a group; the value is logged."""
 
     NO_PRIMARY = "no primary"
     LEAVES = "the primary leaves"
@@ -17,7 +17,7 @@
 
 
 class Reasons:
-    """Looks at one group for a reason to act."""
+    """Checks one group for a reason to act."""
 
     def __init__(self, *, group, lease_view, recorder, peer_reachability):
         self.peer_reachability = peer_reachability
@@ -29,7 +29,8 @@
     def find(self):
         """The reason to act now, or None."""
         if not self.group.upstreams or not self.recorder.knows(self.group.name):
-            # Without a record the list may have gaps, and nothing tells who is missing.
+            # Without a record of the members the list may be incomplete, and it is
+            # unknown which members are missing.
             return None
         delay = self.place() * self.around.tuning.rank_delay
         if not self.group.watch.leader:
@@ -43,11 +44,15 @@
         return Reason.BEHIND if self.replicas_behind(delay) else None
 
     def place(self):
-        """This daemon's place among the group's owners."""
+        """This daemon's position in the order of the group's owners, from 0."""
         return self.around.daemons.place(self.group.spec)
 
     def primary_lost(self, delay):
-        """Tell whether nobody has led for long enough, and nobody may do so unseen."""
+        """Tell whether the group has been without a leader for long enough.
+
+        False if a member at its connection limit may be the leader, or another owner
+        has recently proven the primary.
+        """
         since = self.group.watch.leaderless_since
         if (
             since is None
@@ -59,15 +64,15 @@
         return lost >= self.around.tuning.suspect_after + delay
 
     def writes_stalled(self, delay):
-        """Tell whether writes wait at the primary and none is answered."""
+        """Tell whether writes are pending at the primary and none is answered."""
         stalled_for = self.group.stall.stalled_for(self.around.clock())
         return stalled_for >= self.around.tuning.stall_after + delay
 
     def takeover_unfinished(self, delay):
-        """Tell whether somebody's takeover ended without a word, a while ago.
+        """Tell whether a takeover was abandoned without settling its lease.
 
-        What goes wrong without a look: its replicas stay paused, and members that have
-        joined since can't confirm commits, for an order may still be carried out.
+        Until another daemon finishes it, its replicas stay paused, and members that
+        joined since cannot confirm commits because an order may still be carried out.
         """
         name = self.group.name
         if not self.lease_view.unsettled(name):
@@ -75,7 +80,7 @@
         return self.lease_view.age(name) >= self.around.tuning.settled_after + delay
 
     def primary_leaving(self, delay):
-        """Tell whether the primary leaves and another member could lead."""
+        """Tell whether the primary is leaving and another member could lead."""
         member = self.group.member(self.group.watch.leader)
         if member is None or member.leaving_since is None:
             return False
@@ -83,7 +88,7 @@
         return late and bool(self.successors(member.id))
 
     def replicas_behind(self, delay):
-        """Tell whether reads all fall on a primary that can't take them."""
+        """Tell whether all reads go to the primary and exceed its capacity."""
         now, group = self.around.clock(), self.group
         leader = group.upstreams.get(group.watch.leader)
         replicas = [
@@ -103,7 +108,7 @@
         )
 
     def successors(self, leader):
-        """Members that could lead and that stay."""
+        """Other members that could lead and are not leaving."""
         return [
             member.id
             for member in self.group.members()
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -1,4 +1,4 @@
-"""Commands to a group's members: status, pausing replication, stepping down."""
+"""Sends commands to a group's members: status, replication, stepping down."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,13 +13,13 @@
 )
 from gypsum_sessions.upstreams.borrow import borrowed
 
-# Unanswered or refused commands to a member are repeated this often per round.
+# How often a command is sent to a member per round until it succeeds.
 COMMAND_ATTEMPTS = 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PausedReplica:
-    """A member whose replication is paused, and its status then.
+    """A member whose replication is paused, with its status at that time.
 
     With `already_paused` it was paused before this round, so its log has not grown.
     """
@@ -31,9 +31,10 @@
 
 
 class ReplicationControl:
-    """Gives one group's members commands and remembers whom it has paused.
+    """Sends commands to one group's members and tracks which ones it has paused.
 
-    `paused` maps upstreams to the term they were paused for.
+    `paused` maps upstream ids to the term for which they were paused. `unresponsive`
+    holds the ids that were last logged as not answering.
     """
 
     def __init__(self, *, group, log):
@@ -68,7 +69,7 @@
             )
             return None
         if any(status.leads for status in statuses):
-            # Nothing to pause: there is a primary, the watch has yet to find it.
+            # There is a primary already; the LeaderWatch has not found it yet.
             self.log("another member leads", statuses=str(statuses))
             return None
         term = max(status.term for status in statuses) + 1
@@ -92,12 +93,14 @@
         ]
 
     async def prepare_handover(self, old_primary, pending=""):
-        """Pause all replicas but the one that leads next: (its id, all), or None.
-
-        The primary goes on: what it acknowledges from now on the heir has received, for
-        nobody else receives; and the heir has what the others had when they stopped. So
-        nothing that is acknowledged is missing when it leads. `heir` is the one of an
-        order that may still be carried out.
+        """Pause all replicas except the handover target.
+
+        Returns the target's id and the statuses of the paused members by id, or None if
+        no handover is possible. The primary keeps serving. From now on it can
+        acknowledge only commits that the target has received, since no other member
+        receives any, and the target has caught up with the logs of the paused members.
+        So the target has every acknowledged commit when it is promoted. `pending` is
+        the member of an order that may still be carried out; it stays the target.
         """
         others = [
             item for item in self.group.upstreams.values() if item.id != old_primary
@@ -105,7 +108,7 @@
         statuses = await asyncio.gather(*(self.status_of(item) for item in others))
         known = [status for status in statuses if status is not None]
         if len(known) < len(others) or any(status.leads for status in known):
-            self.log("no heir, not all replicas answer", statuses=str(statuses))
+            self.log("no handover: not all replicas answer", statuses=str(statuses))
             return None
         found = [
             PausedReplica(
@@ -115,7 +118,7 @@
         ]
         chosen = pending or choose_heir(found)
         if chosen not in {item.id for item in others}:
-            self.log("no heir that stays")
+            self.log("no handover: every replica is leaving")
             return None
         held = [item for item in others if item.id != chosen]
         term = max(status.term for status in known) + 1
@@ -125,7 +128,7 @@
         return chosen, paused
 
     async def pause(self, items, term):
-        """Pause some members; their statuses by id, None unless all are paused."""
+        """Pause members; their statuses by id, or None if any is not paused."""
         command = Statement(kind=StatementKind.PAUSE_REPLICATION, term=term)
         answers = await asyncio.gather(*(self.command(item, command) for item in items))
         for item in items:
@@ -136,7 +139,7 @@
         return {item.id: status for item, status in zip(items, answers, strict=True)}
 
     async def wait_caught_up(self, target, paused):
-        """Wait until the heir has received what the paused members have."""
+        """Wait until the handover target has received what the paused members have."""
         longest = max((status.received for status in paused.values()), default=None)
         until = self.around.clock() + self.around.tuning.heir_wait
         while self.around.clock() < until:
@@ -151,10 +154,10 @@
         return False
 
     async def is_replica(self, old_primary):
-        """Tell whether a former primary answers and says that it is a replica.
+        """Tell whether a former primary answers that it is a replica now.
 
-        What goes wrong without the question: it has come back as a replica of a primary
-        that we never saw, and holds the only copy of a commit.
+        It may have come back as a replica of a primary that this daemon never saw, and
+        hold the only copy of a commit.
         """
         item = self.group.upstreams.get(old_primary)
         if item is None:
@@ -167,17 +170,17 @@
         return status is not None and not status.leads
 
     def log_unresponsive(self, silent):
-        """Say whom an attempt waits for, when that changes."""
+        """Log which members an attempt waits for, whenever they change."""
         if silent != self.unresponsive:
             self.log("waiting for members", silent=silent)
         self.unresponsive = silent
 
     async def status_of(self, item):
-        """A member's status, or None."""
+        """A member's status, or None if it did not answer."""
         return await self.command(item, STATUS)
 
     async def command(self, item, statement):
-        """Give a member a command; its status then, or None if it did not answer."""
+        """Send a command to a member; its status afterwards, or None on failure."""
         for _ in range(COMMAND_ATTEMPTS):
             try:
                 return await self.command_once(item, statement)
@@ -191,7 +194,10 @@
         return None
 
     async def command_once(self, item, statement):
-        """One try of a command; raises UpstreamError."""
+        """Send a command once; its status afterwards.
+
+        Raises UpstreamError without an answer, UpstreamBusy if the member refuses.
+        """
         async with borrowed(self.around, item, urgent=True) as conn:
             reply = await conn.ask(
                 statement, timeout=self.around.tuning.command_timeout
@@ -203,7 +209,7 @@
         )
 
     async def resume_all(self):
-        """Let all that were paused go on; those that do not answer stay noted."""
+        """Resume replication on all paused members; retain those that do not answer."""
         for upstream in list(self.paused):
             item = self.group.upstreams.get(upstream)
             if item is None or await self.command(item, RESUME_REPLICATION):
--- a/packages/sessions/gypsum_sessions/takeover/stall.py
+++ b/packages/sessions/gypsum_sessions/takeover/stall.py
@@ -1,15 +1,17 @@
-"""Noticing that a leader takes writes and finishes none."""
+"""Detects a leader that accepts writes but completes none."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True, kw_only=True)
 class WriteStallDetector:
-    """Writes and commits on their way to one group's leader.
+    """Tracks the unanswered writes and commits at one group's leader.
 
-    A leader that is cut from its replicas still answers everything but commits: it
-    waits for a replica that never hears of them. So silence of commits alone, while
-    none is answered, is the sign.
+    A leader that is cut off from its replicas still answers everything except commits,
+    because it waits for a replica that never receives them. A stall is therefore
+    detected when commits are pending and none is answered.
+
+    `pending` maps the number of each unanswered write to the time it was sent.
     """
 
     pending: dict[int, float] = field(default_factory=dict)
@@ -17,22 +19,25 @@
     answered_at: float = float("-inf")
 
     def begin(self, now):
-        """A write leaves; returns its number."""
+        """Record that a write is sent; returns its number."""
         self.last_number += 1
         self.pending[self.last_number] = now
         return self.last_number
 
     def end(self, number, now):
-        """A write was answered; one that never is stays, as the sign looked for."""
+        """Record that a write was answered.
+
+        A write that is never answered stays pending, which indicates a stall.
+        """
         self.pending.pop(number, None)
         self.answered_at = now
 
     def reset(self):
-        """Start anew: somebody else leads."""
+        """Discard all pending writes, because another member leads."""
         self.pending.clear()
 
     def stalled_for(self, now):
-        """Seconds for which writes have waited and none was answered."""
+        """Seconds for which writes have been pending and none was answered, else 0."""
         waiting = [at for at in self.pending.values() if at > self.answered_at]
         self.pending = {
             number: at for number, at in self.pending.items() if at in waiting
