--- a/soak/standins.py
+++ b/soak/standins.py
@@ -81,7 +81,7 @@
     def __init__(self, *, connections):
         self.world = World(folder=".", connections=connections, tenants=tenants())
         self.group = self.world.group
-        self.group.watch = Observer(group=self.group)
+        self.group.observer = Observer(group=self.group)
         self.version = 1
         self.added = []
         self.keys = []
--- a/soak/troubles.py
+++ b/soak/troubles.py
@@ -198,11 +198,11 @@
 
     async def upstream_dark(self, lasts):
         """A member answers nothing."""
-        await self.member_fault(lasts, "dark", True, False)
+        await self.member_fault(lasts, "unresponsive", True, False)
 
     async def upstream_deaf(self, lasts):
         """A member receives nothing."""
-        await self.member_fault(lasts, "deaf", True, False)
+        await self.member_fault(lasts, "not_receiving", True, False)
 
     async def upstream_lag(self, lasts):
         """A member applies late."""
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -233,8 +233,8 @@
     def dark(self):
         """A member answers nothing for a while."""
         member = self.any_or_leader()
-        member.dark = True
-        return lambda: setattr(member, "dark", False)
+        member.unresponsive = True
+        return lambda: setattr(member, "unresponsive", False)
 
     def crash(self):
         """A member crashes and comes back with its log."""
@@ -260,8 +260,8 @@
     def deaf(self):
         """A replica receives nothing."""
         member = self.member()
-        member.deaf = True
-        return lambda: setattr(member, "deaf", False)
+        member.not_receiving = True
+        return lambda: setattr(member, "not_receiving", False)
 
     def lagging(self):
         """A replica applies late."""
@@ -312,13 +312,13 @@
     def cut_and_crash(self):
         """The primary dies while one replica is behind and the other out of reach."""
         behind, away = self.rng.sample(self.rig.group.replicas(), 2)
-        behind.deaf = True
+        behind.not_receiving = True
         loop, leader = asyncio.get_running_loop(), self.leader()
-        loop.call_later(0.5, setattr, away, "dark", True)
-        loop.call_later(0.6, setattr, leader, "dark", True)
+        loop.call_later(0.5, setattr, away, "unresponsive", True)
+        loop.call_later(0.6, setattr, leader, "unresponsive", True)
 
         def mend():
-            behind.deaf = away.dark = leader.dark = False
+            behind.not_receiving = away.unresponsive = leader.unresponsive = False
 
         return mend
 
@@ -475,7 +475,7 @@
     rng = Random(seed)
     rig = Rig(daemons=daemons, max_connections=max_connections, keys=keys)
     watch = Watch(rig=rig)
-    rig.group.watch = watch
+    rig.group.observer = watch
     for proxy in rig.proxies:
         tend(proxy)
     await rig.settle()
@@ -520,7 +520,7 @@
         rig.links.thaw(name)
     rig.leases.down, rig.leases.lose = False, 0
     for member in rig.group.members:
-        member.dark = member.deaf = member.dead = False
+        member.unresponsive = member.not_receiving = member.dead = False
         member.lose_answers = 0
         member.limit = 100
         member.cut_from.clear()
--- a/tests/sessions/fakegroup.py
+++ b/tests/sessions/fakegroup.py
@@ -20,7 +20,7 @@
 from gypsum_sessions.statements import StatementKind
 from gypsum_sessions.upstreams.roster import Member
 
-WIRE = 0.001
+NETWORK_DELAY = 0.001
 PROMOTE_TIME = 0.8
 # A member that died stays listed until three of its reports are missing.
 LISTED_AFTER_DEATH = 1.5
@@ -40,10 +40,10 @@
 class FakeMember:
     """One upstream: its log, its faults.
 
-    `dark`: answers nothing. `dead`: refuses connections. `replaced`:
+    `unresponsive`: answers nothing. `dead`: refuses connections. `replaced`:
     another upstream is at its address. `paused` (a term): receives
-    no log. `deaf`: receives none for another reason. `lag`: seconds until what was
-    received is applied. `work`: seconds of a statement. `lose_answers`: how many of
+    no log. `not_receiving`: receives none for another reason. `lag`: seconds until log
+    is applied. `work`: seconds of a statement. `lose_answers`: how many of
     the next answers to work are lost. `lingering`: lost connections still counted.
     """
 
@@ -51,12 +51,12 @@
     group: "FakeGroup"
     log: list[Entry] = field(default_factory=list)
     applied: int = 0
-    dark: bool = False
+    unresponsive: bool = False
     dead: bool = False
     died_at: float = 0.0
     replaced: bool = False
     paused: int = 0
-    deaf: bool = False
+    not_receiving: bool = False
     cut_from: set[str] = field(default_factory=set)
     lag: float = 0.008
     work: float = 0.02
@@ -138,7 +138,7 @@
     acknowledged: list[Entry] = field(default_factory=list)
     promotions: list[tuple[str, list[int]]] = field(default_factory=list)
     reads: list = field(default_factory=list)
-    watch: object = None
+    observer: object = None
     revision: int = 0
     unlisted: set[str] = field(default_factory=set)
     departed: list[FakeMember] = field(default_factory=list)
@@ -194,7 +194,9 @@
         member.applied = len(member.log)
         asyncio.ensure_future(self.replicate(member, entry))
         while self.sync and not self.received_elsewhere(member, entry):
-            await asyncio.sleep(10 * WIRE if member.dark else WIRE)
+            await asyncio.sleep(
+                10 * NETWORK_DELAY if member.unresponsive else NETWORK_DELAY
+            )
             if member.dead or entry not in member.log:
                 raise UpstreamLost("crashed", step="commit", peer=member.id)
         return entry
@@ -206,20 +208,25 @@
 
     async def replicate(self, source, entry):
         """Bring replicas level with a source, again until they are."""
-        await asyncio.sleep(WIRE)
+        await asyncio.sleep(NETWORK_DELAY)
         for _ in range(20000):
             if self.leader is not source or source.dead or entry not in source.log:
                 return
             for replica in self.replicas():
-                self.ship(source, replica)
+                self.send_log(source, replica)
             if all(entry in replica.log for replica in self.replicas()):
                 return
-            await asyncio.sleep(0.1 if source.dark else 0.01)
+            await asyncio.sleep(0.1 if source.unresponsive else 0.01)
 
-    def ship(self, source, replica):
+    def send_log(self, source, replica):
         """Copy a source's log to one replica, if it can receive."""
-        closed = replica.dead or replica.dark or replica.paused or replica.deaf
-        if closed or replica.id in source.cut_from or source.dark:
+        closed = (
+            replica.dead
+            or replica.unresponsive
+            or replica.paused
+            or replica.not_receiving
+        )
+        if closed or replica.id in source.cut_from or source.unresponsive:
             return
         if replica.log == source.log:
             return
@@ -249,7 +256,7 @@
                 continue
             member.log = [item for item in member.log if item in chosen.log]
             member.applied = min(member.applied, len(member.log))
-            self.ship(chosen, member)
+            self.send_log(chosen, member)
 
 
 class FakeConn:
@@ -302,8 +309,8 @@
     async def answer(self, statement, request, after):
         """Wait for the wire and the turn, then run."""
         async with self.queue:
-            await asyncio.sleep(WIRE)
-            await self.be_silent()
+            await asyncio.sleep(NETWORK_DELAY)
+            await self.wait_while_silent()
             try:
                 reply = await self.run(statement, request, after)
             except UpstreamLost:
@@ -312,14 +319,14 @@
             if request and self.member.lose_answers:
                 self.member.lose_answers -= 1
                 self.silent = True
-            await self.be_silent()
+            await self.wait_while_silent()
             if not self.alive and self.member.dead:
                 raise UpstreamLost("crashed", step="ask", peer=self.member.id)
             return reply
 
-    async def be_silent(self):
+    async def wait_while_silent(self):
         """Answer nothing while dark, or for ever on a silent connection."""
-        while self.member.dark or self.silent:
+        while self.member.unresponsive or self.silent:
             await asyncio.sleep(0.05)
             if not self.alive:
                 raise UpstreamLost("closed", step="ask", peer=self.member.id)
@@ -393,7 +400,7 @@
         member.busy += 1
         try:
             await asyncio.sleep(member.work)
-            await self.be_silent()
+            await self.wait_while_silent()
             return await self.effect(statement, request)
         finally:
             member.busy -= 1
@@ -409,13 +416,13 @@
         if open_tx and not self.read_only and lost_lead and needs_lead:
             return self.refuse(Refusal.READ_ONLY)
         member.runs += 1
-        if member.group.watch is not None and request:
-            member.group.watch.statement_ran(self, request)
+        if member.group.observer is not None and request:
+            member.group.observer.statement_ran(self, request)
             if statement.kind is not StatementKind.COMMIT and not statement.writes:
-                member.group.watch.read_ran(member, request)
+                member.group.observer.read_ran(member, request)
         if statement.kind is StatementKind.COMMIT:
             return await self.commit()
-        item, _, data = target(statement)
+        item, _, data = item_and_data(statement)
         if not statement.writes:
             member.group.reads.append((request, member.id, member.applied))
             return self.done(rows=(member.value(item),), proof=f"{member.id}:{request}")
@@ -461,7 +468,7 @@
         return Reply(refusal=refusal, state=self.state, position=self.member.end)
 
 
-def target(statement):
+def item_and_data(statement):
     """Item and data of a read, write or EXECUTE."""
     if statement.kind is StatementKind.EXECUTE:
         return statement.argument.partition(" ")
@@ -488,7 +495,7 @@
             )
         if target_member.dead:
             raise UpstreamLost("refused", step="dial", peer=member.id)
-        if target_member.dark or member.id in self.cut:
+        if target_member.unresponsive or member.id in self.cut:
             await asyncio.sleep(timeout)
             raise UpstreamLost("no answer", step="dial", peer=member.id)
         await asyncio.sleep(0.012)
--- a/tests/sessions/test_confirm.py
+++ b/tests/sessions/test_confirm.py
@@ -106,7 +106,7 @@
 
     async def main():
         rig = await settled_rig()
-        rig.group["u3"].dark = True
+        rig.group["u3"].unresponsive = True
         rig.group["u2"].work = 2.0
         readers = [rig.caller("bounded") for _ in range(2)]
         await asyncio.gather(*(reader.send("READ a") for reader in readers))
@@ -185,7 +185,7 @@
 
     async def main():
         rig = await settled_rig()
-        rig.group["u2"].deaf = True
+        rig.group["u2"].not_receiving = True
         rig.proxy.take_members(
             [
                 replace(member, leaving=True) if member.id == "u3" else member
--- a/tests/sessions/test_departed.py
+++ b/tests/sessions/test_departed.py
@@ -18,12 +18,12 @@
 
 async def lose_the_only_copy(rig):
     """A commit that u1 and u3 have, u2 has not, and then u1 and u3 crash."""
-    rig.group["u2"].deaf = True
+    rig.group["u2"].not_receiving = True
     assert (await rig.caller("own").send("WRITE a 1")).ok
     await asyncio.sleep(0.5)
     rig.group["u1"].crash()
     rig.group["u3"].crash()
-    rig.group["u2"].deaf = False
+    rig.group["u2"].not_receiving = False
 
 
 def test_a_log_that_lacks_what_the_primary_showed_is_not_promoted():
@@ -83,12 +83,12 @@
         rig.group["u1"].cut_from.update({"u2", "u3"})
         writing = asyncio.create_task(rig.caller("own").send("WRITE a 1"))
         await asyncio.sleep(0.5)
-        rig.group["u3"].dark = True
+        rig.group["u3"].unresponsive = True
         rig.group["u1"].crash()
         assert not (await writing).ok
         await asyncio.sleep(7.0)
         assert rig.group.promotions == []
-        rig.group["u3"].dark = False
+        rig.group["u3"].unresponsive = False
         await asyncio.sleep(3.0)
         assert len(rig.group.promotions) == 1
 
@@ -125,13 +125,13 @@
         cut.around.dialer.dialer.cut.add("u2")
         for conn in list(rig.group["u2"].conns):
             conn.silent = conn.dialer is cut.around.dialer.dialer
-        rig.group["u3"].deaf = True
+        rig.group["u3"].not_receiving = True
         rig.group.promote("u2")
         await other.groups["db"].watch.wait_leader(1.0)
         await asyncio.sleep(0.5)
         assert (await rig.caller("own", other).send("WRITE a 1")).ok
         rig.group["u2"].crash()
-        rig.group["u3"].deaf = False
+        rig.group["u3"].not_receiving = False
         await asyncio.sleep(9.0)
         assert rig.group.promotions[1:] == [("u1", [])]
 
@@ -148,7 +148,7 @@
     async def main():
         rig = Rig(daemons=2)
         start_listing(rig)
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(0.7 + 1.0 + PROMOTE_TIME)
         assert rig.group.leader is not rig.group["u1"]
 
--- a/tests/sessions/test_freshness.py
+++ b/tests/sessions/test_freshness.py
@@ -88,7 +88,7 @@
                 conn.silent = True
         rig.group["u1"].cut_from.update({"u2", "u3"})
         rig.group.promote("u2")
-        rig.group["u1"].deaf = True
+        rig.group["u1"].not_receiving = True
         await asyncio.sleep(0.5)
         assert (await rig.caller("own", fresh).send("WRITE a new")).ok
         reply = await rig.caller("primary", old).send("READ a")
@@ -109,7 +109,7 @@
         rig = Rig()
         await rig.settle()
         for replica in rig.group.replicas():
-            replica.deaf = True
+            replica.not_receiving = True
         rig.group.sync = 0
         group = rig.proxy.groups["db"]
         group.spec = replace(group.spec, sync_replicas=0)
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -56,7 +56,7 @@
         await rig.settle()
         told = []
         await write_for(rig, rig.proxy, 0.5, told)
-        rig.group["u2"].deaf = rig.group["u3"].deaf = True
+        rig.group["u2"].not_receiving = rig.group["u3"].not_receiving = True
         rig.group["u2"].log = rig.group["u2"].log[:1]
         rig.group["u3"].log = rig.group["u3"].log[:2]
         takeover = rig.proxy.takeovers["db"]
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -133,7 +133,7 @@
         told = []
         await write_for(rig, rig.proxy, 1.0, told)
         rig.group["u2"].restart_empty()
-        rig.group["u2"].deaf = True
+        rig.group["u2"].not_receiving = True
         refresh(rig)
         rig.group["u1"].crash()
         await asyncio.sleep(4.0)
@@ -196,12 +196,12 @@
         await rig.settle()
         told = []
         await write_for(rig, rig.proxy, 1.0, told)
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         control = rig.proxy.takeovers["db"].replication
         paused = await control.pause_all("u1", step_down=False)
         assert {item.upstream for item in paused} == {"u2", "u3"}
         rig.group["u3"].restart_empty()
-        rig.group["u3"].deaf = True
+        rig.group["u3"].not_receiving = True
         refresh(rig)
         again = await control.pause_all("u1", step_down=False)
         held = {item.upstream: item.already_paused for item in again}
@@ -225,7 +225,7 @@
         told = []
         await write_for(rig, rig.proxy, 0.5, told)
         rig.group["u2"].restart_empty()
-        rig.group["u2"].deaf = rig.group["u3"].deaf = True
+        rig.group["u2"].not_receiving = rig.group["u3"].not_receiving = True
         rig.group.sync = 0
         reply = await rig.caller().send("WRITE late 1")
         assert reply.refusal is Refusal.IN_DOUBT
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -277,7 +277,7 @@
         draining = start_drain(rig.proxy)
         await asyncio.sleep(GRACE * 0.74)
         for member in rig.group.members:
-            member.dark = True
+            member.unresponsive = True
         caller.statement("r3", read_statement("READ a"))
         await draining
         assert len(link.replies) == 3
--- a/tests/sessions/test_outcomes.py
+++ b/tests/sessions/test_outcomes.py
@@ -108,7 +108,7 @@
         rig = Rig()
         await rig.settle()
         for member in rig.group.members:
-            member.dark = True
+            member.unresponsive = True
         await asyncio.sleep(1.0)
         reply = await rig.caller("own").send("WRITE a 1")
         assert reply.refusal is Refusal.BUSY and reply.retry_after_ms > 0
--- a/tests/sessions/test_owner_without_primary.py
+++ b/tests/sessions/test_owner_without_primary.py
@@ -52,7 +52,7 @@
 
     async def main():
         rig, caller = await cut_owner()
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         reply = await caller.send("WRITE a 1")
         assert reply.ok or reply.retry_after_ms
 
--- a/tests/sessions/test_peer_reachability.py
+++ b/tests/sessions/test_peer_reachability.py
@@ -57,7 +57,7 @@
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(3.0)
         assert len(rig.group.promotions) == 1
 
--- a/tests/sessions/test_recorder.py
+++ b/tests/sessions/test_recorder.py
@@ -126,14 +126,14 @@
     async def main():
         rig = Rig()
         await rig.settle()
-        rig.group["u3"].deaf = True
+        rig.group["u3"].not_receiving = True
         assert (await rig.caller("own").send("WRITE a 1")).ok
         rig.proxy.stop()
-        rig.group["u1"].dark = rig.group["u2"].dark = True
+        rig.group["u1"].unresponsive = rig.group["u2"].unresponsive = True
         late = start_with_a_part(rig, {"u3"})
         await asyncio.sleep(1.9)
         assert rig.group.promotions == []
-        rig.group["u1"].dark = rig.group["u2"].dark = False
+        rig.group["u1"].unresponsive = rig.group["u2"].unresponsive = False
         rig.group.unlisted.clear()
         late.take_members(rig.group.listing())
         await asyncio.sleep(4.0)
@@ -180,7 +180,7 @@
         rig = Rig()
         await rig.settle()
         rig.proxy.recorder.recorded.clear()
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(3.0)
         assert rig.leases.calls == 0
         rig.proxy.recall("db", rig.group.listing())
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -72,9 +72,9 @@
         told = []
         writer = asyncio.create_task(write_for(rig, rig.proxy, 12.0, told))
         await asyncio.sleep(0.5)
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(1.5)
-        rig.group["u1"].dark = False
+        rig.group["u1"].unresponsive = False
         await writer
         check_nothing_lost(rig, told)
         assert all(lost == [] for _, lost in rig.group.promotions)
@@ -116,7 +116,7 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(4.0)
         assert len(rig.group.promotions) == 1
         assert rig.leases.lease.settled
@@ -136,10 +136,10 @@
         rig = Rig(daemons=1)
         await rig.settle()
         rig.promoter.late = [6.0, 6.0, 6.0, 6.0]
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         while not rig.promoter.orders:
             await asyncio.sleep(0.05)
-        rig.group["u1"].dark = False
+        rig.group["u1"].unresponsive = False
         takeover = rig.proxy.takeovers["db"]
         await asyncio.sleep(2.0)
         assert takeover.unanswered_orders
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -58,7 +58,7 @@
         told = []
         writers = start_writers(rig, 6.0, told)
         await asyncio.sleep(1.0)
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.gather(*writers)
         assert rig.group.promotions and rig.group.leader is not rig.group["u1"]
         check_nothing_lost(rig, told)
@@ -95,15 +95,15 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.group["u2"].deaf = True
+        rig.group["u2"].not_receiving = True
         assert (await rig.caller("own").send("WRITE a 1")).ok
-        rig.group["u3"].dark = True
-        rig.group["u1"].dark = True
+        rig.group["u3"].unresponsive = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(8.0)
         assert rig.group.promotions == []
         refused = await rig.caller("own").send("WRITE b 2")
         assert refused.refusal is Refusal.BUSY and refused.retry_after_ms
-        rig.group["u3"].dark = False
+        rig.group["u3"].unresponsive = False
         await asyncio.sleep(14.0)
         assert rig.group.promotions and rig.group.promotions[0][1] == []
 
@@ -215,7 +215,7 @@
         told = []
         writers = start_writers(rig, 15.0, told)
         await asyncio.sleep(1.0)
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.gather(*writers)
         assert all(lost == [] for _, lost in rig.group.promotions)
         check_nothing_lost(rig, told)
@@ -229,7 +229,7 @@
         rig = Rig(daemons=2)
         await rig.settle()
         rig.promoter.highest = 3
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(12.0)
         tokens = [token for _, _, token in rig.promoter.orders]
         assert len(tokens) == len(set(tokens))
@@ -310,7 +310,7 @@
         rig.group["u3"].replaced = True
         for conn in list(rig.group["u3"].conns):
             conn.close()
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(4.0)
         assert rig.group.leader is rig.group["u2"]
         assert rig.proxy.groups["db"].member("u3") is None
--- a/tests/sessions/test_usage.py
+++ b/tests/sessions/test_usage.py
@@ -55,7 +55,7 @@
     rig = Rig(daemons=daemons, keys=KEYS, caps={"north": CAP}, max_connections=90)
     for member in rig.group.members:
         member.work, member.slots = 0.002, 20
-    rig.group.watch = Ran(loop=rig.loop)
+    rig.group.observer = Ran(loop=rig.loop)
     await rig.settle()
     await asyncio.sleep(1.0)
     return rig
@@ -115,12 +115,12 @@
     async def main():
         rig = await capped_rig()
         await Load(rig=rig).run(5.0, 3.0)
-        rig.group.watch.times.clear()
+        rig.group.observer.times.clear()
         load = Load(rig=rig)
         await load.run(300.0, 8.0)
-        ran = rig.group.watch.most()
+        ran = rig.group.observer.most()
         assert ran <= allowed(CAP)
-        assert len(rig.group.watch.times) >= 0.95 * (CAP.rate * 8.0 + CAP.burst)
+        assert len(rig.group.observer.times) >= 0.95 * (CAP.rate * 8.0 + CAP.burst)
         assert all(reply.refusal is Refusal.BUSY for reply in load.refused())
         assert all(reply.retry_after_ms > 0 for reply in load.refused())
 
@@ -191,7 +191,7 @@
         if fault == "freeze":
             rig.links.thaw(name)
         await running
-        assert rig.group.watch.most() <= allowed(CAP)
+        assert rig.group.observer.most() <= allowed(CAP)
         refused = load.refused()
         if rate < CAP.rate:
             assert len(refused) <= 0.03 * len(load.replies)
@@ -212,7 +212,7 @@
             proxy.offer_catalog(lower, "test")
         at = rig.loop.time()
         await running
-        assert rig.group.watch.most(since=at + 0.1) <= allowed(LOW)
+        assert rig.group.observer.most(since=at + 0.1) <= allowed(LOW)
 
     run(main())
 
@@ -235,7 +235,7 @@
         others = [proxy for proxy in rig.proxies if proxy.name != home]
         load, at = Load(rig=rig), rig.loop.time()
         await load.run(100.0, 7.0, others)
-        assert rig.group.watch.most(since=at) <= allowed(LOW)
+        assert rig.group.observer.most(since=at) <= allowed(LOW)
 
     run(main())
 
@@ -255,7 +255,7 @@
         rest = [proxy for proxy in rig.proxies if proxy.name not in names]
         await Load(rig=rig, seed=2).run(300.0, 10.0, rest)
         await running
-        assert rig.group.watch.most() <= allowed(CAP)
+        assert rig.group.observer.most() <= allowed(CAP)
 
     run(main())
 
@@ -298,7 +298,7 @@
         await load.run(20.0, 5.0)
         assert load.refused() == []
         await Load(rig=rig).run(300.0, 8.0)
-        assert rig.group.watch.most() <= 2 * allowed(CAP)
+        assert rig.group.observer.most() <= 2 * allowed(CAP)
 
     run(main())
 
@@ -356,7 +356,7 @@
         running = asyncio.create_task(load.run(200.0, 16.0, away.serving))
         await away.run(6)
         await running
-        assert rig.group.watch.most() <= allowed(CAP)
+        assert rig.group.observer.most() <= allowed(CAP)
 
     run(main())
 
@@ -372,6 +372,6 @@
     async def main():
         rig = await capped_rig()
         await Load(rig=rig).run(300.0, 6.0)
-        assert rig.group.watch.most() > allowed(CAP)
+        assert rig.group.observer.most() > allowed(CAP)
 
     run(main())
--- a/tests/sessions/test_workspaces.py
+++ b/tests/sessions/test_workspaces.py
@@ -33,7 +33,7 @@
 async def keyed_rig(**fleet):
     """Daemons whose callers show keys, and the names in which statements ran."""
     rig = Rig(keys=KEYS, **fleet)
-    rig.group.watch = Names()
+    rig.group.observer = Names()
     await rig.settle()
     return rig
 
@@ -76,7 +76,7 @@
         keys = {"own": {"public": True}}
         rig.proxy.offer_catalog(rig.configured(2, KEYS, **keys), "test")
         assert (await rig.caller("own").send("READ a")).ok
-        assert rig.group.watch.ran[-1][1] == ""
+        assert rig.group.observer.ran[-1][1] == ""
 
     run(main())
 
@@ -97,7 +97,9 @@
                     assert (await caller.send(text)).ok
                 await asyncio.sleep(0.01)
                 own = f"{caller.number}-"
-                ran = {who for req, who in rig.group.watch.ran if req.startswith(own)}
+                ran = {
+                    who for req, who in rig.group.observer.ran if req.startswith(own)
+                }
                 assert ran == {name}
 
     run(main())
@@ -111,7 +113,7 @@
             for text in ("READ a", "WRITE a 1", "BEGIN READ", "READ a", "COMMIT"):
                 assert (await caller.send(text)).ok
             own = f"{caller.number}-"
-            ran = {who for req, who in rig.group.watch.ran if req.startswith(own)}
+            ran = {who for req, who in rig.group.observer.ran if req.startswith(own)}
             assert ran == {name}
 
     run(main())
@@ -189,7 +191,7 @@
                 item.turns.ended(None)
         reply = await waiting
         assert reply.refusal is Refusal.UNKNOWN_KEY
-        assert rig.group.watch.ran == []
+        assert rig.group.observer.ran == []
 
     run(main())
 
@@ -208,9 +210,9 @@
         caller = rig.caller(proxy=proxy, key="n1")
         assert (await caller.send(text)).ok
         withdraw(rig, *rig.owners())
-        ran = len(rig.group.watch.ran)
+        ran = len(rig.group.observer.ran)
         assert (await caller.send(text)).refusal is Refusal.UNKNOWN_KEY
-        assert len(rig.group.watch.ran) == ran
+        assert len(rig.group.observer.ran) == ran
         assert caller.session.withdrawn
 
     run(main())
@@ -244,7 +246,7 @@
         withdraw(rig, proxy, keys=added)
         caller = rig.caller(proxy=proxy, key="e1")
         assert (await caller.send("READ a")).ok
-        assert rig.group.watch.ran[-1][1] == "east"
+        assert rig.group.observer.ran[-1][1] == "east"
 
     run(main())
 
@@ -267,7 +269,7 @@
         withdraw(rig, keys={"north": ["n2"], "south": ["s1", "n1"]})
         assert (await caller.send("READ a")).refusal is Refusal.UNKNOWN_KEY
         assert (await rig.caller(key="n1").send("READ a")).ok
-        assert rig.group.watch.ran[-1][1] == "south"
+        assert rig.group.observer.ran[-1][1] == "south"
 
     run(main())
 
