--- a/tests/sessions/fakegroup.py
+++ b/tests/sessions/fakegroup.py
@@ -1,7 +1,7 @@
-"""A database group in memory: logs, terms, replication, promotion, faults.
+"""In-memory database group with logs, terms, replication, promotion and faults.
 
-It answers as the users' pages say upstreams do, and keeps what callers were told, so
-that tests can check the promises from outside.
+It answers as the user documentation says upstreams do, and records what callers were
+told so that tests can check the guarantees.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 NETWORK_DELAY = 0.001
 PROMOTE_TIME = 0.8
-# A member that died stays listed until three of its reports are missing.
+# Seconds that a dead member stays listed: until three of its reports are missing.
 LISTED_AFTER_DEATH = 1.5
 ORIGIN = Position(term=0, index=0)
 
@@ -38,13 +38,14 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class FakeMember:
-    """One upstream: its log, its faults.
-
-    `unresponsive`: answers nothing. `dead`: refuses connections. `replaced`:
-    another upstream is at its address. `paused` (a term): receives
-    no log. `not_receiving`: receives none for another reason. `lag`: seconds until log
-    is applied. `work`: seconds of a statement. `lose_answers`: how many of
-    the next answers to work are lost. `lingering`: lost connections still counted.
+    """One upstream with its log and the faults injected into it.
+
+    `unresponsive`: answers nothing. `dead`: refuses connections. `replaced`: another
+    upstream runs at its address. `paused` (a term): replication is paused.
+    `not_receiving`: receives no log for another reason. `lag`: seconds until received
+    log is applied. `work`: seconds that a statement takes. `lose_answers`: how many of
+    the next answers to statements are lost. `lingering`: number of lost connections
+    that still count towards `limit`.
     """
 
     id: str
@@ -91,7 +92,7 @@
         return any(item.position == position for item in self.log[: self.applied])
 
     def value(self, item):
-        """What a read of an item shows."""
+        """The applied value of an item, empty if it has none."""
         for entry in reversed(self.log[: self.applied]):
             for name, data in reversed(entry.writes):
                 if name == item:
@@ -103,19 +104,19 @@
         return asyncio.get_running_loop().time() - self.died_at
 
     def crash(self):
-        """Stop: connections break, what was received stays."""
+        """Stop: connections break, the received log is kept."""
         self.dead = True
         self.died_at = asyncio.get_running_loop().time()
         for conn in list(self.conns):
             conn.close()
 
     def restart(self):
-        """Come back with the log, as whatever the group says we are."""
+        """Start again with the same log, in the role that the group assigns."""
         self.dead = False
         self.paused = 0
 
     def restart_empty(self):
-        """End and start again at once under the same name, with nothing of before."""
+        """Crash and start again at once under the same name with an empty log."""
         self.crash()
         self.restart()
         self.log, self.applied = [], 0
@@ -127,7 +128,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class FakeGroup:
-    """The members of a group and who leads."""
+    """The members of a group, its leader and the history of its commits."""
 
     name: str = "db"
     sync: int = 1
@@ -186,7 +187,7 @@
         return [member for member in self.members if member is not self.leader]
 
     async def commit(self, member, writes):
-        """Commit at a leader; returns the entry once it is replicated."""
+        """Commit at a leader; return the entry once another member received it."""
         self.commits += 1
         position = Position(term=self.term, index=member.end.index + 1)
         entry = Entry(position=position, writes=tuple(writes), commit=self.commits)
@@ -202,12 +203,12 @@
         return entry
 
     def received_elsewhere(self, source, entry):
-        """Tell whether another member has an entry."""
+        """Tell whether a member other than the source has an entry."""
         others = (item for item in self.members if item is not source)
         return any(entry in item.log for item in others)
 
     async def replicate(self, source, entry):
-        """Bring replicas level with a source, again until they are."""
+        """Send the source's log to all replicas until each has the entry."""
         await asyncio.sleep(NETWORK_DELAY)
         for _ in range(20000):
             if self.leader is not source or source.dead or entry not in source.log:
@@ -236,12 +237,12 @@
         asyncio.get_running_loop().call_later(replica.lag, self.apply, replica, size)
 
     def apply(self, replica, size):
-        """What was received becomes visible."""
+        """Make received log entries visible to reads."""
         if not replica.dead:
             replica.applied = max(replica.applied, min(size, len(replica.log)))
 
     def promote(self, name):
-        """Make a member lead the next term with what it has received."""
+        """Promote a member to leader of the next term with the log it has received."""
         chosen = self[name]
         if chosen is self.leader or chosen.dead:
             return
@@ -260,7 +261,7 @@
 
 
 class FakeConn:
-    """A connection to a member; `cut` makes it silent."""
+    """A connection to a member; with `silent` it gives no more answers."""
 
     def __init__(self, *, member, loop, dialer=None, workspace=""):
         self.member = member
@@ -280,7 +281,7 @@
         member.conns.append(self)
 
     def close(self):
-        """Close; what is open is rolled back."""
+        """Close the connection and roll back an open transaction."""
         if self.alive:
             self.alive = False
             self.pending = []
@@ -291,11 +292,11 @@
         return reply.rows[0]
 
     async def ask(self, statement, *, timeout, request="", after=None):
-        """Run a statement as an upstream would."""
+        """Run a statement as an upstream would; see UpstreamConn.ask for the errors."""
         if not self.alive:
             raise UpstreamLost("closed", step="ask", peer=self.member.id, sent=False)
         work = asyncio.ensure_future(self.answer(statement, request, after))
-        # What ends after the asker gave up has nobody to tell.
+        # Retrieve the exception of work that ends after the caller timed out.
         work.add_done_callback(lambda task: task.cancelled() or task.exception())
         try:
             async with asyncio.timeout(timeout):
@@ -307,7 +308,7 @@
             ) from None
 
     async def answer(self, statement, request, after):
-        """Wait for the wire and the turn, then run."""
+        """Wait for the network and for earlier statements, then run."""
         async with self.queue:
             await asyncio.sleep(NETWORK_DELAY)
             await self.wait_while_silent()
@@ -325,7 +326,7 @@
             return reply
 
     async def wait_while_silent(self):
-        """Answer nothing while dark, or for ever on a silent connection."""
+        """Wait while the member is unresponsive or this connection is silent."""
         while self.member.unresponsive or self.silent:
             await asyncio.sleep(0.05)
             if not self.alive:
@@ -376,7 +377,7 @@
         return await self.work(statement, request)
 
     def begin(self, statement):
-        """BEGIN: only a leader takes a writing one."""
+        """Run BEGIN; only a leader accepts a read-write transaction."""
         if statement.writes and not self.member.leads:
             return self.refuse(Refusal.READ_ONLY)
         self.state = SessionState.IN_TRANSACTION
@@ -386,7 +387,7 @@
         return self.done()
 
     async def work(self, statement, request):
-        """What takes a slot: reads, writes, commits."""
+        """Run a statement that occupies a slot: a read, a write or a commit."""
         member = self.member
         if member.full:
             return Reply(refusal=Refusal.BUSY, state=self.state, position=member.end)
@@ -406,7 +407,7 @@
             member.busy -= 1
 
     async def effect(self, statement, request):
-        """What the statement does."""
+        """Apply the effect of a statement and return its reply."""
         member = self.member
         if member.dead:
             raise UpstreamLost("crashed", step="ask", peer=member.id)
@@ -436,7 +437,7 @@
         return self.done(proof=f"{member.id}:{request}")
 
     async def commit(self):
-        """COMMIT of the open transaction."""
+        """Commit the open transaction."""
         pending, self.pending = self.pending, []
         self.state = SessionState.IDLE
         if pending:
@@ -457,26 +458,26 @@
         return Reply(rows=(status,), state=self.state, position=member.end)
 
     def done(self, rows=(), proof=""):
-        """A success."""
+        """A successful reply."""
         position = self.member.end
         return Reply(rows=rows, proof=proof, state=self.state, position=position)
 
     def refuse(self, refusal):
-        """A refusal; inside a transaction it fails the transaction."""
+        """A refusal; it fails an open transaction."""
         if self.state is SessionState.IN_TRANSACTION:
             self.state = SessionState.FAILED
         return Reply(refusal=refusal, state=self.state, position=self.member.end)
 
 
 def item_and_data(statement):
-    """Item and data of a read, write or EXECUTE."""
+    """The item and data of a read, write or EXECUTE, as returned by partition."""
     if statement.kind is StatementKind.EXECUTE:
         return statement.argument.partition(" ")
     return statement.text.partition(" ")[2].partition(" ")
 
 
 class FakeDialer:
-    """Dials members by id; `cut` names those that this daemon cannot reach."""
+    """Dials members; `cut` holds the ids that this daemon cannot reach."""
 
     def __init__(self, *, group, loop):
         self.group = group
