--- a/tests/sessions/test_departed.py
+++ b/tests/sessions/test_departed.py
@@ -1,4 +1,4 @@
-"""Takeovers while members are off the list, or were not seen to lead."""
+"""Takeovers while members are off the list or a leader was never proven."""
 
 import asyncio
 
@@ -10,14 +10,14 @@
 
 
 def start_listing(rig):
-    """The list and its graces work as in a daemon."""
+    """Keep the member list and its grace periods up to date as in a daemon."""
     for proxy in rig.proxies:
         proxy.keep_running(proxy.tend)
     rig.proxy.keep_running(lambda: keep_listed(rig))
 
 
 async def lose_the_only_copy(rig):
-    """A commit that u1 and u3 have, u2 has not, and then u1 and u3 crash."""
+    """Commit at u1 and u3 but not at u2, then crash u1 and u3."""
     rig.group["u2"].not_receiving = True
     assert (await rig.caller("own").send("WRITE a 1")).ok
     await asyncio.sleep(0.5)
@@ -26,13 +26,12 @@
     rig.group["u2"].not_receiving = False
 
 
-def test_a_log_that_lacks_what_the_primary_showed_is_not_promoted():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+def test_a_log_that_lacks_the_primarys_position_is_not_promoted():
+    """Guards against losing an acknowledged commit with a promotion.
 
-    Sequence: one replica is behind; the other, which had acknowledged the commit,
-    crashes together with the primary and falls off the list; the one that is behind
-    is all that is left, and is promoted; seconds later the crashed one is back.
-    Cause: what is off the list was taken as gone for good.
+    One replica is behind. The other, through which the commit was acknowledged, crashes
+    together with the primary, goes off the list and returns seconds later. The one that
+    is behind is the only member left and must not be promoted meanwhile.
     """
 
     async def main():
@@ -50,8 +49,8 @@
     run(main())
 
 
-def test_a_log_with_all_that_was_shown_is_promoted_without_the_others():
-    """The counterpart: members that are gone hold up nobody who lacks nothing."""
+def test_a_log_with_the_primarys_position_is_promoted_without_the_others():
+    """Departed members do not delay the promotion of a log that lacks no commit."""
 
     async def main():
         rig = Rig(daemons=2)
@@ -69,11 +68,11 @@
 
 
 def test_a_primary_that_is_gone_with_an_unacknowledged_tail_is_not_waited_for():
-    """Symptom: writes stand still for fifteen seconds after a primary is gone.
+    """Guards against writes stalling for fifteen seconds after a primary is gone.
 
-    Sequence: a commit waits at the primary that no replica receives; the primary
-    crashes while a replica is out of reach, and is off the list when that is back.
-    Cause: the tail that nobody was told of was waited for.
+    A commit waits at the primary that no replica receives. The primary crashes while a
+    replica is unreachable, and is off the list when that replica returns. A commit
+    that was never acknowledged must not be waited for.
     """
 
     async def main():
@@ -95,7 +94,7 @@
     run(main())
 
 
-def test_members_that_never_come_back_are_waited_for_within_bounds():
+def test_members_that_never_return_are_waited_for_only_until_the_timeout():
     async def main():
         rig = Rig(daemons=2)
         start_listing(rig)
@@ -108,12 +107,11 @@
 
 
 def test_a_former_primary_that_follows_is_paused_like_the_others():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+    """Guards against losing an acknowledged commit with a promotion.
 
-    Sequence: a daemon that is cut from the new primary knows only the old one, which
-    follows by now and is the only replica with a commit; the new primary crashes and
-    falls off the list; the daemon pauses and promotes the other replica. Cause: the
-    member that it saw lead last was not asked.
+    A daemon that is cut off from the new primary knows only the old one, which is a
+    replica by now and the only one with a commit. The new primary crashes and goes off
+    the list. Unless the daemon asks the old primary too, it promotes the other replica.
     """
 
     async def main():
@@ -139,10 +137,10 @@
 
 
 def test_after_a_restart_of_all_daemons_a_dead_primary_is_not_waited_for():
-    """Symptom: writes are refused for six seconds after a power loss.
+    """Guards against refusing writes for six seconds after a power loss.
 
-    Sequence: the primary dies, all daemons lose power just then, and come back. Cause:
-    they had seen nobody lead, and waited for all members that were listed.
+    The primary dies and all daemons restart at the same time. They have no proof of any
+    leader and would wait for all listed members, including the dead primary.
     """
 
     async def main():
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -1,4 +1,4 @@
-"""A primary that serves is replaced: as it leaves, and for its load's sake."""
+"""Replacing a primary that serves: when it leaves, and when replicas are behind."""
 
 import asyncio
 from dataclasses import replace
@@ -14,7 +14,7 @@
 
 
 def leave(rig, name):
-    """The list shows that a member leaves."""
+    """List a member as leaving."""
     listed = [
         replace(member, leaving=member.id == name) for member in rig.group.listing()
     ]
@@ -23,16 +23,16 @@
 
 
 def longest_gap(told, after):
-    """The longest time without a write that was done, from a time on."""
+    """The longest time between two successful writes, from `after` on, in seconds."""
     times = sorted(at for _, refusal, at in told if refusal is None and at >= after)
     return max(late - early for early, late in zip(times, times[1:], strict=False))
 
 
 def test_writes_go_on_while_a_leaving_primary_hands_over():
-    """Symptom: writes stand still for a second whenever a primary leaves.
+    """Guards against writes stalling for a second whenever a primary leaves.
 
-    Sequence: the primary says that it leaves, is told to step down, and the promotion
-    takes its time. Cause: nobody led in between.
+    If a leaving primary were told to step down first, no member would lead until the
+    promotion took effect.
     """
 
     async def main():
@@ -50,7 +50,7 @@
     run(main())
 
 
-def test_an_heir_that_does_not_receive_is_not_handed_over_to():
+def test_a_replica_that_receives_no_log_is_no_handover_target():
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
@@ -65,7 +65,7 @@
     run(main())
 
 
-def test_it_takes_both_far_replicas_and_a_queue():
+def test_a_change_needs_both_lagging_replicas_and_a_backlog():
     assert worth_changing(behind_for=2.0, pressed_for=1.0, led_for=9.0)
     assert not worth_changing(behind_for=2.0, pressed_for=0.0, led_for=9.0)
     assert not worth_changing(behind_for=0.0, pressed_for=1.0, led_for=9.0)
@@ -73,7 +73,7 @@
 
 
 async def read_at_random(rig, proxy, rng, until, told):
-    """Reads of a daemon's callers, more than one upstream can run."""
+    """Send more reads to a daemon than one upstream can run, at random intervals."""
     running = []
     while rig.loop.time() < until:
         caller = rig.caller("own", proxy)
@@ -83,7 +83,10 @@
 
 
 async def play_far_replicas():
-    """Replicas apply thirty seconds late, callers ask for twice what one can run."""
+    """Replicas apply 30 s late and callers send twice the load that one can run.
+
+    Returns the share of reads served and the number of promotions.
+    """
     rig = Rig(daemons=2)
     for member in rig.group.members:
         member.slots = 3
@@ -105,11 +108,12 @@
     return served, len(rig.group.promotions)
 
 
-def test_the_lead_changes_when_all_replicas_are_far_behind_and_reads_pile_up():
-    """Symptom: half of a group's callers are refused while two upstreams idle.
+def test_another_member_leads_when_all_replicas_lag_and_reads_are_queued():
+    """Guards against refusing half of a group's callers while two upstreams are idle.
 
-    Sequence: both replicas apply late for long, all reads fall on the primary. Cause:
-    nobody gives the group a second upstream that is level, though a promotion does.
+    Both replicas apply late for a long time, so all reads go to the primary. Promoting
+    a replica makes it apply its whole log and gives the group a second upstream that is
+    up to date.
     """
     served, promotions = run(play_far_replicas())
     assert promotions >= 1
--- a/tests/sessions/test_lease_view.py
+++ b/tests/sessions/test_lease_view.py
@@ -1,4 +1,4 @@
-"""Which members each takeover has on its list, by the store's order."""
+"""Which members each takeover knows, by the store's revisions."""
 
 from gypsum_sessions.borders import PromotionLease
 from gypsum_sessions.takeover.lease_view import INITIAL_WINDOW, LeaseView
@@ -17,7 +17,7 @@
 
 
 def make_view():
-    """A view that has heard all up to revision 10, and its clock."""
+    """A view that knows all leases up to revision 10, and its clock."""
     clock = Clock()
     view = LeaseView(clock=clock, takeover_window=WINDOW)
     view.record_revision(10)
@@ -35,18 +35,18 @@
     )
 
 
-def test_members_listed_before_the_newest_news_are_known():
+def test_members_listed_up_to_the_known_revision_are_known():
     view, _ = make_view()
     assert view.member_known("g", 10)
     assert not view.member_known("g", 11)
 
 
 def test_a_member_that_joins_during_a_takeover_is_not_known_until_it_is_settled():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+    """Guards against losing an acknowledged commit with a promotion.
 
-    Sequence: a takeover's order gets no answer, its holder dies, the old primary is
-    back and a member joins it; commits are acknowledged through that, and ten seconds
-    later the order is carried out. Cause: a takeover counted as over after four.
+    A takeover's order gets no answer and its holder dies. The old primary returns, a
+    member joins and commits are acknowledged through it. Ten seconds later the order is
+    carried out, while a time limit of four seconds would have ended the takeover.
     """
     view, clock = make_view()
     view.record("g", lease(1, 20))
@@ -71,11 +71,11 @@
     assert lease(2, 35, settled=True, chain=20).next_chain == 0
 
 
-def test_nobodys_lease_is_no_takeover():
-    """Symptom: no commit can be confirmed after the first look at a lease.
+def test_a_lease_without_a_holder_is_not_a_takeover():
+    """Guards against unconfirmable commits after the first read of a lease.
 
-    Sequence: a daemon is about to take a lease that nobody ever had, and notes what it
-    found: revision 0. Cause: that counted as a takeover older than all members.
+    A daemon that is about to take a lease that nobody ever held records what it read:
+    revision 0. That must not count as a takeover older than all members.
     """
     view, _ = make_view()
     view.record("g", lease(0, 0))
--- a/tests/sessions/test_leftovers.py
+++ b/tests/sessions/test_leftovers.py
@@ -1,4 +1,4 @@
-"""Reads that still run at a slow upstream after another one has answered them."""
+"""Reads that still run at a slow upstream after another one answered them."""
 
 from dataclasses import replace
 
@@ -6,15 +6,15 @@
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 
-# What a statement takes at the replicas, seconds: longer than a read is left alone, and
-# than a third of a second after that.
+# How long a statement takes at the replicas, seconds: longer than the delay before a
+# read is sent to another upstream as well, plus a third of a second.
 SLOW = 0.9
-# When the second replica is asked as well, and the leader after it, seconds.
+# Delay before the second replica is asked as well, and then the leader, seconds.
 SECOND_ASKED = 0.25
 
 
 async def make_rig(**fleet):
-    """Daemons over a group whose replicas have become slow."""
+    """A rig with a group whose replicas have become slow."""
     rig = Rig(**fleet)
     await rig.settle()
     for member in rig.group.replicas():
@@ -23,12 +23,15 @@
 
 
 def patient(route):
-    """The same route with a long time for each statement."""
+    """The same route with a long statement timeout."""
     return replace(route, statement_timeout=5.0)
 
 
 async def read_elsewhere(rig, caller):
-    """A read that a slow replica got first, and the leader answered; when it began."""
+    """Run a read that starts at a slow replica and is answered by the leader.
+
+    Returns the time at which it began.
+    """
     began = rig.loop.time()
     assert (await caller.send("READ a")).ok
     assert rig.loop.time() - began < SLOW
@@ -36,11 +39,12 @@
 
 
 def test_values_change_once_no_read_runs_with_the_old_ones():
-    """Symptom: `PINNED c5t7-34: values {}`, a read ran without the session's value.
+    """Guards against a read that runs with a session value that was set after it.
 
-    Sequence: a replica is slow, the read is asked elsewhere and answered, its caller
-    sets a value and is told so after 0.3 s; the replica runs the read a moment later.
-    Cause: the connection was closed, but the replica had received the read before.
+    A replica is slow and another upstream answers the read. Its caller sets a value and
+    gets the reply after 0.3 s, then the replica runs the read: closing the connection
+    does not stop a read that the replica has already received. The random runs report
+    this as `PINNED c5t7-34: values {}`.
     """
 
     async def main():
@@ -65,10 +69,11 @@
 
 
 def test_values_change_as_soon_as_an_owner_tells_that_the_read_has_ended():
-    """Symptom: SET is refused although the read ended long before.
+    """Guards against refusing SET although the read ended long before.
 
-    Sequence: a route gives a statement five seconds, an owner answers a read that still
-    runs elsewhere, for a moment. Cause: all of the five seconds were waited for.
+    On a route with a statement timeout of five seconds an owner answers a read that
+    still runs briefly at another upstream. Without a message that it has ended, SET
+    would wait for all of the five seconds.
     """
 
     async def main():
@@ -99,7 +104,7 @@
 
 
 def test_values_do_not_change_while_a_read_may_run_for_long():
-    """The replica answers nothing for longer than anyone waits: SET is refused."""
+    """SET is refused when the replica answers later than the longest wait."""
 
     async def main():
         rig = await make_rig()
@@ -118,7 +123,7 @@
     run(main())
 
 
-def test_values_change_at_once_where_nothing_is_left_over():
+def test_values_change_at_once_when_no_read_is_pending():
     async def main():
         rig = Rig()
         await rig.settle()
--- a/tests/sessions/test_lost_lease.py
+++ b/tests/sessions/test_lost_lease.py
@@ -1,4 +1,4 @@
-"""Promotion leases that the store lost as it returned from an older copy."""
+"""Promotion leases that the store lost when it was restored from an older copy."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def test_a_lost_lease_is_left_to_its_holder_for_as_long_as_any_other():
-    """Guards against a second takeover beside that of the holder."""
+    """Guards against a second takeover concurrent with that of the lease's holder."""
 
     async def main():
         rig = Rig(daemons=2)
@@ -31,7 +31,7 @@
     run(main())
 
 
-def test_the_lease_that_the_store_has_goes_before_an_older_one():
+def test_the_lease_in_the_store_takes_precedence_over_an_older_one():
     view, _ = make_view()
     view.record("g", lease(4, 8))
     assert view.newest("g", lease(5, 9)) == lease(5, 9)
--- a/tests/sessions/test_peer_reachability.py
+++ b/tests/sessions/test_peer_reachability.py
@@ -1,4 +1,4 @@
-"""A primary that this daemon does not reach and others do."""
+"""A primary that other daemons reach and this one does not."""
 
 import asyncio
 
@@ -15,11 +15,11 @@
     assert usable_helpers(seen, 10.0) == ["a", "b"]
 
 
-def test_callers_of_a_daemon_that_is_cut_off_are_served_by_way_of_another():
-    """Symptom: for seconds all callers of some daemons are refused.
+def test_callers_of_a_daemon_that_is_cut_off_are_served_through_another():
+    """Guards against refusing all callers of some daemons for seconds.
 
-    Sequence: the path from a daemon to the primary is cut, all others reach it. Cause:
-    a daemon only used its own connections.
+    The path from one daemon to the primary is cut while all others reach it. The
+    daemon must send statements through the others.
     """
 
     async def main():
@@ -53,7 +53,7 @@
     run(main())
 
 
-def test_a_primary_that_nobody_reaches_is_replaced_as_soon_as_ever():
+def test_a_primary_that_no_daemon_reaches_is_replaced_without_delay():
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
@@ -64,7 +64,7 @@
     run(main())
 
 
-def test_a_daemon_uses_its_own_way_again_once_it_is_back():
+def test_a_daemon_uses_its_own_connections_again_once_they_work():
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
@@ -81,12 +81,12 @@
     run(main())
 
 
-def test_a_daemon_on_the_wrong_side_of_a_cut_refuses_at_once():
-    """Symptom: callers wait for most of their time before they may go elsewhere.
+def test_a_daemon_in_the_minority_partition_refuses_at_once():
+    """Guards against callers waiting for most of their time before a refusal.
 
-    Sequence: a daemon loses a primary's replicas and then the primary, which another
-    daemon has replaced, and the other daemons as well. Cause: it waits for a primary
-    that it could not reach.
+    A daemon loses the connections to the other daemons and to most members, including
+    the primary, which another daemon may have replaced. Waiting for a primary that it
+    cannot reach would only delay callers that could go to another daemon.
     """
 
     async def main():
@@ -136,10 +136,10 @@
 
 
 def test_callers_wait_for_the_next_primary_when_helpers_have_lost_it_as_well():
-    """Symptom: callers spend their tries within milliseconds of a primary's death.
+    """Guards against callers using up their retries within milliseconds of a failure.
 
-    Sequence: a daemon loses the primary, another one vouches for it and then loses it
-    too. Cause: that no helper took the statement was passed on as a refusal.
+    A daemon loses the primary, and another daemon that vouched for it loses it too.
+    The fact that no helper took the statement must not be returned as a refusal.
     """
 
     async def main():
--- a/tests/sessions/test_return.py
+++ b/tests/sessions/test_return.py
@@ -1,9 +1,9 @@
-"""All daemons come back at once while upstreams still count their lost connections.
+"""All daemons restart at once while upstreams still count their lost connections.
 
-The load: nine daemons, a group of three with 34 connections and 5 slots a member, 72
-operations a second. Power is lost everywhere; what was open is counted for three
-seconds more; the daemons start within a quarter of a second, and each is met at once by
-the callers that wait for it.
+The load: nine daemons, a group of three members with 34 connections and 5 slots each,
+72 operations a second. All daemons lose power. The upstreams count the connections that
+were open for three more seconds. The daemons start within a quarter of a second, and
+each gets requests at once from the callers that wait for it.
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 DAEMONS = 9
 CONNECTIONS = 34
 LINGER = 3.0
-# Operations a second at each daemon, in the calm and right after the return.
-CALM, RUSH = 4.0, 12.0
-# Callers that wait for each daemon at its return, and the time between two starts.
-WAITING = 24
+# Operations a second at each daemon, before the power loss and after the restart.
+NORMAL_RATE, RETURN_RATE = 4.0, 12.0
+# Callers that wait for each daemon at its restart, and the time between two starts.
+WAITING_CALLERS = 24
 START_GAP = 0.03
 
 
 async def calls(rig, proxy, rng, rate, seconds, told, waiting=0):
-    """Operations at a daemon: a third of them writes, a quarter in transactions."""
+    """Run operations at a daemon: a third are writes, a quarter in transactions."""
     until = rig.loop.time() + seconds
     running = [
         asyncio.create_task(operate(rig, proxy, rng, told)) for _ in range(waiting)
@@ -37,7 +37,7 @@
 
 
 async def operate(rig, proxy, rng, told):
-    """One operation; notes how its last statement ended and how long it took."""
+    """Run one operation; append the refusal of its last statement and its seconds."""
     caller = rig.caller(rng.choice(["own", "bounded", "primary"]), proxy)
     began = rig.loop.time()
     transaction = rng.random() < 0.25
@@ -53,17 +53,17 @@
 
 
 async def all_call(rig):
-    """A calm spell of callers at all daemons."""
+    """Run a period of normal load at all daemons."""
     await asyncio.gather(
         *(
-            calls(rig, proxy, Random(number), CALM, 8.0, [])
+            calls(rig, proxy, Random(number), NORMAL_RATE, 8.0, [])
             for number, proxy in enumerate(rig.proxies)
         )
     )
 
 
 def lose_power(rig):
-    """All daemons are gone; upstreams count their connections for a while."""
+    """Stop all daemons; the upstreams count their connections for LINGER seconds."""
     for member in rig.group.members:
         member.lingering = len(member.conns)
         rig.loop.call_later(LINGER, setattr, member, "lingering", 0)
@@ -75,14 +75,14 @@
 
 
 async def come_back(rig, number, tuning, told):
-    """One daemon starts anew, and its callers are there; when it found the leader."""
+    """Restart one daemon with waiting callers; seconds until it found the leader."""
     await asyncio.sleep(number * START_GAP)
     names = [proxy.name for proxy in rig.proxies]
     proxy = rig.make_proxy(names[number], names, tuning, 1)
     proxy.keep_running(proxy.tend)
     began = rig.loop.time()
     calling = asyncio.create_task(
-        calls(rig, proxy, Random(number), RUSH, 2.0, told, WAITING)
+        calls(rig, proxy, Random(number), RETURN_RATE, 2.0, told, WAITING_CALLERS)
     )
     assert await proxy.groups["db"].watch.wait_leader(5.0)
     found = rig.loop.time() - began
@@ -91,7 +91,7 @@
 
 
 async def play(tuning, connections=CONNECTIONS):
-    """A calm spell, the loss, the return: (seconds to each leader, callers' ends)."""
+    """Normal load, power loss, restart: (seconds to each leader, callers' results)."""
     rig = Rig(daemons=DAEMONS, tuning=tuning)
     for member in rig.group.members:
         member.limit = connections
@@ -110,15 +110,15 @@
 
 
 def refused(told):
-    """How many operations had no success."""
+    """The number of operations that were refused."""
     return sum(refusal is not None for refusal, _ in told)
 
 
 def test_few_connections_leave_room_for_all_daemons():
-    """Symptom: two to four seconds after a power loss callers are still refused.
+    """Guards against refusing callers two to four seconds after a power loss.
 
-    Sequence: as above. Cause: the daemons that were back first took all connections
-    that the upstreams had left, and many stood open before the loss.
+    The daemons that restart first would take all connections that the upstreams have
+    left, and many idle connections open before the loss would still be counted.
     """
     full_shares = replace(DEFAULT_SESSION_TUNING, modest_for=0.0, idle_limit=60.0)
     _, told = run(play(DEFAULT_SESSION_TUNING))
@@ -127,7 +127,7 @@
 
 
 def test_daemons_serve_at_once_where_connections_are_not_scarce():
-    """The counterpart: nothing but scarce connections holds the daemons up."""
+    """Without a shortage of connections the daemons serve without delay."""
     found, told = run(play(DEFAULT_SESSION_TUNING, connections=100))
     assert max(found) < 0.1
     assert refused(told) <= 0.02 * len(told)
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -1,4 +1,4 @@
-"""Takeovers end in words: leases settled, late orders refused, pauses lifted."""
+"""The end of takeovers: leases settled, late orders refused, replicas resumed."""
 
 import asyncio
 from dataclasses import replace
@@ -10,10 +10,10 @@
 
 
 def test_replicas_paused_by_a_late_order_are_resumed():
-    """Symptom: writes stand still for ever though all members are well.
+    """Guards against writes stalling forever although all members are healthy.
 
-    Sequence: an order to pause got no answer, its sender went on without it, and it
-    is carried out seconds later. Cause: nobody looked for paused replicas.
+    A command to pause replication gets no answer, its sender continues without it, and
+    it is carried out seconds later. Some daemon has to look for paused replicas.
     """
 
     async def main():
@@ -31,13 +31,14 @@
     run(main())
 
 
-def test_replicas_that_a_rival_has_paused_are_not_resumed():
-    """Symptom: acknowledged commits are missing after a promotion.
+def test_replicas_that_another_daemon_has_paused_are_not_resumed():
+    """Guards against losing acknowledged commits with a promotion.
 
-    Sequence: a primary is cut from its replicas; one daemon pauses them and orders a
-    promotion; another, which still hears the primary, sees writes stand still, finds
-    the replicas paused and resumes them; the cut heals, commits are acknowledged, the
-    promotion takes effect. Cause: the pause was taken for a forgotten one.
+    A primary is cut off from its replicas. One daemon pauses them and orders a
+    promotion. Another daemon, which still reaches the primary, sees writes stall and
+    finds the replicas paused. If it took the pause for an abandoned one and resumed
+    them, the primary could acknowledge commits once its connections are restored, and
+    the promotion would discard them.
     """
 
     async def main():
@@ -58,11 +59,11 @@
 
 
 def test_a_late_order_is_refused_once_the_primary_was_confirmed():
-    """Symptom: a healthy primary is deposed and commits are lost.
+    """Guards against deposing a healthy primary and losing commits.
 
-    Sequence: a promotion is ordered and not answered, the primary comes back, the
-    replicas are resumed, the order is carried out five seconds later. Cause: nothing
-    had raised the fence above the order's token.
+    A promotion order gets no answer, the primary returns and the replicas are resumed,
+    then the order is carried out five seconds later. Confirming the primary must raise
+    the fencing token above that of the order.
     """
 
     async def main():
@@ -83,12 +84,12 @@
     run(main())
 
 
-def test_a_lease_found_at_the_start_does_not_hold_commits_back_for_long():
-    """Symptom: after a restart of all daemons commits are in doubt for seconds.
+def test_a_lease_found_at_the_start_delays_commits_only_briefly():
+    """Guards against commits in doubt for seconds after a restart of all daemons.
 
-    Sequence: a takeover took place an hour ago, or ended without a word, a daemon
-    starts and reads the lease. Cause: a lease that is new to the daemon looked like a
-    takeover under way.
+    A takeover was settled an hour ago, or was abandoned, and a daemon that starts reads
+    its lease. A lease that is new to the daemon must not look like one that was taken
+    just now.
     """
 
     async def main():
@@ -124,12 +125,12 @@
     run(main())
 
 
-def test_a_takeover_with_an_order_on_its_way_is_not_settled_by_its_end():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+def test_a_takeover_with_an_unanswered_order_is_not_settled_when_it_ends():
+    """Guards against losing an acknowledged commit with a promotion.
 
-    Sequence: an order gets no answer, the primary is back, the takeover gives up, and
-    the order is carried out seconds later. Cause: its end was taken for the end of all
-    that it had set going.
+    An order gets no answer, the primary returns, the attempt is abandoned, and the
+    order is carried out seconds later. The end of the attempt must not settle the lease
+    while one of its orders can still take effect.
     """
 
     async def main():
@@ -152,10 +153,10 @@
 
 
 def test_an_unfinished_takeover_is_finished_by_another_daemon():
-    """Symptom: reads are slow for minutes, and new replicas confirm no commit.
+    """Guards against minutes of slow reads and new replicas that confirm no commit.
 
-    Sequence: a daemon pauses the replicas, takes the lease and dies; the primary had
-    only been out of reach for it. Cause: nobody else looked after what it left.
+    A daemon that cannot reach a healthy primary takes the lease, pauses the replicas
+    and dies. Another daemon has to finish its takeover.
     """
 
     async def main():
@@ -173,7 +174,7 @@
     run(main())
 
 
-def test_only_an_accepted_order_ends_those_before_it():
+def test_only_an_accepted_order_invalidates_earlier_ones():
     async def main():
         takeover = Rig().proxy.takeovers["db"]
         takeover.record_outcome("u2", PromoteOutcome.UNANSWERED)
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -1,4 +1,4 @@
-"""A primary out of service is replaced, and nothing acknowledged is lost."""
+"""Replacing a primary that is out of service without losing acknowledged writes."""
 
 import asyncio
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 
 def paused(name, index, *, leaving=False, term=1):
-    """A paused member with a log that long."""
+    """A paused member whose log ends at `index` of `term`."""
     status = UpstreamStatus(
         leads=False,
         term=1,
@@ -85,11 +85,11 @@
 
 
 def test_nothing_is_promoted_while_a_replica_cannot_be_paused():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+    """Guards against losing an acknowledged commit with a promotion.
 
-    Sequence: the primary and one replica are out of reach; the other replica lags;
-    it is promoted. Cause: the commit was acknowledged through the replica that
-    nobody asked.
+    The primary and one replica are unreachable and the other replica lags. Promoting
+    the lagging one would lose a commit that was acknowledged through the unreachable
+    replica.
     """
 
     async def main():
@@ -110,11 +110,11 @@
     run(main())
 
 
-def test_a_daemon_that_is_cut_off_alone_does_no_harm():
-    """Symptom: a healthy primary is replaced and acknowledged writes are lost.
+def test_a_daemon_that_alone_is_cut_off_causes_no_data_loss():
+    """Guards against losing acknowledged writes when a healthy primary is replaced.
 
-    Sequence: one daemon loses its path to the primary only, and replaces it, while
-    the others write on. Cause: it counts its own silence as a death.
+    One daemon loses its path to the primary only, takes the primary for dead and
+    replaces it while the other daemons continue to write.
     """
 
     async def main():
@@ -137,11 +137,11 @@
 
 
 def test_a_primary_that_takes_no_further_connection_is_not_replaced():
-    """Symptom: right after a power loss of all daemons a takeover begins.
+    """Guards against a takeover right after a power loss of all daemons.
 
-    Sequence: all daemons are back at once, the upstreams still count their old
-    connections and refuse new ones for three seconds. Cause: a primary that nobody
-    could ask was taken for dead, though it answered the dials.
+    All daemons restart at once. For three seconds the upstreams still count the old
+    connections and refuse new ones. A primary that no daemon could ask would be taken
+    for dead although it answered the dials.
     """
 
     async def main():
@@ -182,15 +182,16 @@
 
 
 def replace_leaving(member):
-    """The member as the list shows it when it leaves."""
+    """The member as listed while it is leaving."""
     return replace(member, leaving=True)
 
 
 def test_a_primary_cut_from_its_replicas_is_replaced():
-    """Symptom: writes stand still while the primary looks healthy.
+    """Guards against stalled writes at a primary that looks healthy.
 
-    Sequence: the primary loses its replicas, but not the daemons; commits wait for a
-    replica. Cause: only silence of the primary counted, and it was not silent.
+    The primary is cut off from its replicas but not from the daemons. It answers
+    probes while its commits wait for a replica, so a missing answer to a probe cannot
+    be the only sign of failure.
     """
 
     async def main():
@@ -238,11 +239,11 @@
     run(main())
 
 
-def test_a_full_queue_is_no_death():
-    """Symptom: a burst makes the daemons replace a healthy primary.
+def test_a_primary_with_a_full_queue_is_not_replaced():
+    """Guards against replacing a healthy primary during a burst of load.
 
-    Sequence: the primary's queue is full for a second, proofs are turned away as
-    busy. Cause: every proof that failed counted as silence.
+    The primary's queue is full for a second and it refuses proofs as busy. Such a
+    refusal must not count as a missing answer.
     """
 
     async def main():
@@ -258,10 +259,10 @@
 
 
 def test_a_start_before_all_members_are_listed_replaces_nobody():
-    """Symptom: at the start a lease is taken and members are paused.
+    """Guards against a takeover while a group starts.
 
-    Sequence: replicas are listed seconds before the primary is. Cause: a group whose
-    primary nobody has heard of yet looked like one that lost it.
+    The replicas are listed seconds before the primary. A group whose primary is not
+    listed yet must not look like one that lost its primary.
     """
 
     async def main():
@@ -298,10 +299,10 @@
 
 
 def test_a_member_whose_address_another_has_taken_is_not_waited_for():
-    """Symptom: a dead primary is replaced only seconds after it could be.
+    """Guards against a delay of seconds before a dead primary is replaced.
 
-    Sequence: a replica crashes and another starts at its address, the primary dies,
-    the list still names the old replica. Cause: the takeover waits for it.
+    A replica crashes, another upstream starts at its address, and the primary dies
+    while the list still names the old replica. The takeover would wait for it.
     """
 
     async def main():
@@ -319,10 +320,10 @@
 
 
 def test_an_upstream_that_takes_no_more_connections_still_leads():
-    """Symptom: writes are refused for want of a primary that is well.
+    """Guards against refused writes while the primary is healthy.
 
-    Sequence: an upstream is at its limit of connections while statements hold all that
-    a daemon has; a further one for proofs is refused. Cause: that counted as a lost
+    The primary is at its connection limit and statements hold all connections of a
+    daemon, so another connection for a proof is refused. This must not count as a lost
     leader.
     """
 
@@ -349,11 +350,11 @@
     run(main())
 
 
-def test_a_leaving_primary_that_cannot_be_replaced_is_left_in_time():
-    """Symptom: work is sent to an upstream long after it said that it leaves.
+def test_a_leaving_primary_that_cannot_be_replaced_gets_no_late_work():
+    """Guards against sending work to an upstream long after it announced its departure.
 
-    Sequence: the primary leaves, the store is away, so nobody can be promoted. Cause:
-    it still led, and nothing else was asked.
+    The primary is leaving while the store is unavailable, so no member can be promoted
+    and the leaving member is still the leader.
     """
 
     async def main():
@@ -376,12 +377,12 @@
     run(main())
 
 
-def test_a_daemon_with_an_old_list_deposes_nobody():
-    """Symptom: acknowledged commits of a healthy new primary are lost.
+def test_a_daemon_with_an_outdated_list_starts_no_takeover():
+    """Guards against losing acknowledged commits of a healthy new primary.
 
-    Sequence: a daemon is cut off; meanwhile the primary is replaced by a member that
-    joined; the daemon comes back, finds no leader among the members that it knows, and
-    takes the lease. Cause: it chose among its old list.
+    While a daemon is cut off, a member that joined meanwhile replaces the primary. The
+    daemon returns, finds no leader among the members on its outdated list and would
+    promote one of them.
     """
 
     async def main():
