--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -18,7 +18,7 @@
 from gypsum_sessions.takeover.replication import ReplicationControl
 from gypsum_sessions.tuning import SessionTuning
 from gypsum_sessions.upstreams import group
-from tests.sessions import rig, test_handover, test_lagging, test_return
+from tests.sessions import rig, test_handover, test_lagging, test_mass_restart
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 from tests.sessions.writers import start_writers, write_for
@@ -36,7 +36,7 @@
 
 def return_of_all():
     """Nine daemons come back while upstreams still count their lost connections."""
-    _, told = run(test_return.play(test_return.DEFAULT_SESSION_TUNING))
+    _, told = run(test_mass_restart.play(test_mass_restart.DEFAULT_SESSION_TUNING))
     return share(told, done=lambda item: item[0] is None)
 
 
@@ -177,7 +177,7 @@
     made = SessionTuning(**values)
     defaults = {**rig.Rig.__init__.__kwdefaults__, "tuning": made}
     return [
-        (test_return, "DEFAULT_SESSION_TUNING", made),
+        (test_mass_restart, "DEFAULT_SESSION_TUNING", made),
         (rig.Rig.__init__, "__kwdefaults__", defaults),
     ]
 
