--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -36,13 +36,15 @@
 
 def return_of_all():
     """Nine daemons come back while upstreams still count their lost connections."""
-    _, told = run(test_mass_restart.play(test_mass_restart.DEFAULT_SESSION_TUNING))
+    _, told = run(
+        test_mass_restart.run_power_loss(test_mass_restart.DEFAULT_SESSION_TUNING)
+    )
     return share(told, done=lambda item: item[0] is None)
 
 
 def far_replicas():
     """Replicas apply 30 s late, callers ask for twice what one upstream runs."""
-    return run(test_handover.play_far_replicas())[0]
+    return run(test_handover.run_lagging_replicas())[0]
 
 
 def lagging_commits():
@@ -80,7 +82,7 @@
         told = []
         writers = start_writers(rig, 5.0, told)
         await asyncio.sleep(1.0)
-        test_handover.leave(rig, "u1")
+        test_handover.list_as_leaving(rig, "u1")
         await asyncio.gather(*writers)
         return test_handover.longest_gap(told, 0.5)
 
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -13,7 +13,7 @@
 from tests.sessions.writers import check_nothing_lost, start_writers, write_for
 
 
-def leave(rig, name):
+def list_as_leaving(rig, name):
     """List a member as leaving."""
     listed = [
         replace(member, leaving=member.id == name) for member in rig.group.listing()
@@ -41,7 +41,7 @@
         told = []
         writers = start_writers(rig, 5.0, told)
         await asyncio.sleep(1.0)
-        leave(rig, "u1")
+        list_as_leaving(rig, "u1")
         await asyncio.gather(*writers)
         assert rig.group.leader is not rig.group["u1"]
         check_nothing_lost(rig, told)
@@ -72,7 +72,7 @@
     assert not worth_changing(behind_for=2.0, pressed_for=1.0, led_for=3.0)
 
 
-async def read_at_random(rig, proxy, rng, until, told):
+async def send_random_reads(rig, proxy, rng, until, told):
     """Send more reads to a daemon than one upstream can run, at random intervals."""
     running = []
     while rig.loop.time() < until:
@@ -82,7 +82,7 @@
     told += await asyncio.gather(*running)
 
 
-async def play_far_replicas():
+async def run_lagging_replicas():
     """Replicas apply 30 s late and callers send twice the load that one can run.
 
     Returns the share of reads served and the number of promotions.
@@ -98,7 +98,7 @@
     writers = start_writers(rig, 10.0, writes)
     await asyncio.gather(
         *(
-            read_at_random(rig, proxy, Random(number), until, told)
+            send_random_reads(rig, proxy, Random(number), until, told)
             for number, proxy in enumerate(rig.proxies)
         )
     )
@@ -115,9 +115,9 @@
     a replica makes it apply its whole log and gives the group a second upstream that is
     up to date.
     """
-    served, promotions = run(play_far_replicas())
+    served, promotions = run(run_lagging_replicas())
     assert promotions >= 1
     with patch.object(reasons, "worth_changing", lambda **seen: False):
-        without, none = run(play_far_replicas())
+        without, none = run(run_lagging_replicas())
     assert none == 0
     assert served > without + 0.15
--- a/tests/sessions/test_mass_restart.py
+++ b/tests/sessions/test_mass_restart.py
@@ -24,19 +24,20 @@
 START_GAP = 0.03
 
 
-async def calls(rig, proxy, rng, rate, seconds, told, waiting=0):
+async def run_load(rig, proxy, rng, rate, seconds, told, waiting=0):
     """Run operations at a daemon: a third are writes, a quarter in transactions."""
     until = rig.loop.time() + seconds
     running = [
-        asyncio.create_task(operate(rig, proxy, rng, told)) for _ in range(waiting)
+        asyncio.create_task(run_operation(rig, proxy, rng, told))
+        for _ in range(waiting)
     ]
     while rig.loop.time() < until:
-        running.append(asyncio.create_task(operate(rig, proxy, rng, told)))
+        running.append(asyncio.create_task(run_operation(rig, proxy, rng, told)))
         await asyncio.sleep(rng.expovariate(rate))
     await asyncio.gather(*running)
 
 
-async def operate(rig, proxy, rng, told):
+async def run_operation(rig, proxy, rng, told):
     """Run one operation; append the refusal of its last statement and its seconds."""
     caller = rig.caller(rng.choice(["own", "bounded", "primary"]), proxy)
     began = rig.loop.time()
@@ -52,11 +53,11 @@
     await proxy.close_session(caller.session)
 
 
-async def all_call(rig):
+async def run_normal_load(rig):
     """Run a period of normal load at all daemons."""
     await asyncio.gather(
         *(
-            calls(rig, proxy, Random(number), NORMAL_RATE, 8.0, [])
+            run_load(rig, proxy, Random(number), NORMAL_RATE, 8.0, [])
             for number, proxy in enumerate(rig.proxies)
         )
     )
@@ -74,7 +75,7 @@
             conn.close()
 
 
-async def come_back(rig, number, tuning, told):
+async def restart_daemon(rig, number, tuning, told):
     """Restart one daemon with waiting callers; seconds until it found the leader."""
     await asyncio.sleep(number * START_GAP)
     names = [proxy.name for proxy in rig.proxies]
@@ -82,7 +83,7 @@
     proxy.keep_running(proxy.tend)
     began = rig.loop.time()
     calling = asyncio.create_task(
-        calls(rig, proxy, Random(number), RETURN_RATE, 2.0, told, WAITING_CALLERS)
+        run_load(rig, proxy, Random(number), RETURN_RATE, 2.0, told, WAITING_CALLERS)
     )
     assert await proxy.groups["db"].watch.wait_leader(5.0)
     found = rig.loop.time() - began
@@ -90,7 +91,7 @@
     return found
 
 
-async def play(tuning, connections=CONNECTIONS):
+async def run_power_loss(tuning, connections=CONNECTIONS):
     """Normal load, power loss, restart: (seconds to each leader, callers' results)."""
     rig = Rig(daemons=DAEMONS, tuning=tuning)
     for member in rig.group.members:
@@ -98,12 +99,12 @@
     for proxy in rig.proxies:
         proxy.keep_running(proxy.tend)
     await rig.settle()
-    await all_call(rig)
+    await run_normal_load(rig)
     lose_power(rig)
     await asyncio.sleep(1.0)
     told = []
     found = await asyncio.gather(
-        *(come_back(rig, number, tuning, told) for number in range(DAEMONS))
+        *(restart_daemon(rig, number, tuning, told) for number in range(DAEMONS))
     )
     assert rig.group.promotions == []
     return found, told
@@ -121,13 +122,13 @@
     left, and many idle connections open before the loss would still be counted.
     """
     full_shares = replace(DEFAULT_SESSION_TUNING, modest_for=0.0, idle_limit=60.0)
-    _, told = run(play(DEFAULT_SESSION_TUNING))
-    _, told_with_full_shares = run(play(full_shares))
+    _, told = run(run_power_loss(DEFAULT_SESSION_TUNING))
+    _, told_with_full_shares = run(run_power_loss(full_shares))
     assert refused(told) <= 0.6 * refused(told_with_full_shares)
 
 
 def test_daemons_serve_at_once_where_connections_are_not_scarce():
     """Without a shortage of connections the daemons serve without delay."""
-    found, told = run(play(DEFAULT_SESSION_TUNING, connections=100))
+    found, told = run(run_power_loss(DEFAULT_SESSION_TUNING, connections=100))
     assert max(found) < 0.1
     assert refused(told) <= 0.02 * len(told)
--- a/tests/sessions/test_pending_reads.py
+++ b/tests/sessions/test_pending_reads.py
@@ -8,9 +8,9 @@
 
 # How long a statement takes at the replicas, seconds: longer than the delay before a
 # read is sent to another upstream as well, plus a third of a second.
-SLOW = 0.9
+SLOW_STATEMENT = 0.9
 # Delay before the second replica is asked as well, and then the leader, seconds.
-SECOND_ASKED = 0.25
+HEDGE_DELAY = 0.25
 
 
 async def make_rig(**fleet):
@@ -18,11 +18,11 @@
     rig = Rig(**fleet)
     await rig.settle()
     for member in rig.group.replicas():
-        member.work = SLOW
+        member.work = SLOW_STATEMENT
     return rig
 
 
-def patient(route):
+def with_long_timeout(route):
     """The same route with a long statement timeout."""
     return replace(route, statement_timeout=5.0)
 
@@ -34,7 +34,7 @@
     """
     began = rig.loop.time()
     assert (await caller.send("READ a")).ok
-    assert rig.loop.time() - began < SLOW
+    assert rig.loop.time() - began < SLOW_STATEMENT
     return began
 
 
@@ -52,7 +52,7 @@
         caller = rig.caller("own")
         began = await read_elsewhere(rig, caller)
         assert (await caller.send("SET zone north")).ok
-        assert rig.loop.time() - began >= SLOW
+        assert rig.loop.time() - began >= SLOW_STATEMENT
 
     run(main())
 
@@ -63,7 +63,11 @@
         caller = rig.caller("own", rig.others()[0])
         began = await read_elsewhere(rig, caller)
         assert (await caller.send("SET zone north")).ok
-        assert SLOW <= rig.loop.time() - began < SLOW + SECOND_ASKED + 0.1
+        assert (
+            SLOW_STATEMENT
+            <= rig.loop.time() - began
+            < SLOW_STATEMENT + HEDGE_DELAY + 0.1
+        )
 
     run(main())
 
@@ -80,11 +84,15 @@
         rig = await make_rig(daemons=5, max_connections=9)
         other = rig.others()[0]
         route = other.catalog.route("bounded")
-        other.catalog.current.routes["bounded"] = patient(route)
+        other.catalog.current.routes["bounded"] = with_long_timeout(route)
         caller = rig.caller("bounded", other)
         began = await read_elsewhere(rig, caller)
         assert (await caller.send("SET zone north")).ok
-        assert SLOW <= rig.loop.time() - began < SLOW + SECOND_ASKED + 0.1
+        assert (
+            SLOW_STATEMENT
+            <= rig.loop.time() - began
+            < SLOW_STATEMENT + HEDGE_DELAY + 0.1
+        )
 
     run(main())
 
@@ -112,7 +120,7 @@
             member.work = 20.0
         caller = rig.caller("bounded")
         route = rig.proxy.catalog.route("bounded")
-        rig.proxy.catalog.current.routes["bounded"] = patient(route)
+        rig.proxy.catalog.current.routes["bounded"] = with_long_timeout(route)
         assert (await caller.send("READ a")).ok
         began = rig.loop.time()
         reply = await caller.send("SET zone north")
