--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -220,10 +220,10 @@
         (ReplicationControl, "prepare_handover", no_heir)
     ),
     "helpers that reach the primary": lambda: without(
-        (PeerReachability, "helpers", lambda self: [])
+        (PeerReachability, "confirming_daemons", lambda self: [])
     ),
     "refusal of a daemon that is cut off": lambda: without(
-        (LeaderWatch, "cut_off", lambda self: False)
+        (LeaderWatch, "is_partitioned", lambda self: False)
     ),
     "limit of work at upstreams": lambda: without((group, "work_limit", any_limit)),
     "refusal for the queue's length": lambda: without(
--- a/packages/sessions/gypsum_sessions/callers/access.py
+++ b/packages/sessions/gypsum_sessions/callers/access.py
@@ -56,7 +56,7 @@
 
     def elsewhere(self):
         """The way over owners that reach the primary; None if we do, or nobody does."""
-        helpers = self.reach.helpers()
+        helpers = self.reach.confirming_daemons()
         if not helpers:
             return None
         return RemoteAccess(
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -155,7 +155,7 @@
 
     def cut_off(self):
         """Tell whether this daemon does not reach most of a group that it owns."""
-        return any(group.watch.cut_off() for group in self.groups.values())
+        return any(group.watch.is_partitioned() for group in self.groups.values())
 
     def offer_catalog(self, candidate, source):
         """Bring a configuration into force if it is newer."""
@@ -434,7 +434,7 @@
             if self.board.known_revision < 0:
                 continue
             for name, group in list(self.groups.items()):
-                place = self.takeovers[name].place()
+                place = self.takeovers[name].rank()
                 await self.recorder.look(name, group.members(), place)
 
     async def end_idle_transactions(self):
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -111,9 +111,9 @@
             and self.around.clock() >= self.backoff_until
         )
 
-    def place(self):
+    def rank(self):
         """This daemon's position in the order in which owners take over."""
-        return self.reasons.place()
+        return self.reasons.rank()
 
     # One attempt
 
@@ -131,7 +131,7 @@
             return
         if reason is Reason.STALLED and not await self.confirm_stall():
             return
-        if not await self.take_lease(reason):
+        if not await self.acquire_lease(reason):
             return
         self.pending_order = ""
         self.unanswered_orders = set()
@@ -267,7 +267,7 @@
         self.lease = None
         await self.resume_all()
 
-    async def take_lease(self, reason):
+    async def acquire_lease(self, reason):
         """Acquire the lease with a new token; tell whether that succeeded."""
         name, tuning = self.group.name, self.around.tuning
         found = await self.leases.read(name)
@@ -312,7 +312,7 @@
             return True
         # The token cannot be used again: the order was refused or may still be carried
         # out.
-        return not await self.take_lease("again")
+        return not await self.acquire_lease("again")
 
     async def choose_candidate(self, reason, old_primary):
         """Pause replicas and choose the member to promote; empty if none can be yet.
@@ -455,7 +455,7 @@
             self.replication.paused.clear()
             return
         leader = self.group.watch.leader
-        if not leader or not await self.take_lease(Reason.RESUME):
+        if not leader or not await self.acquire_lease(Reason.RESUME):
             return
         outcome = await self.order_promotion(leader)
         self.log("primary confirmed", upstream=leader, outcome=str(outcome))
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -20,7 +20,7 @@
 
 PART = "leader"
 # How often tasks that wait for a leader check whether this daemon is cut off, seconds.
-CUT_OFF_CHECK_INTERVAL = 0.1
+PARTITION_CHECK_INTERVAL = 0.1
 
 
 async def prove_leads(conn, *, timeout):
@@ -83,12 +83,12 @@
         deadline = self.clock() + timeout
         while not self.leader:
             left = deadline - self.clock()
-            if left <= 0 or self.cut_off():
+            if left <= 0 or self.is_partitioned():
                 return ""
-            await self.wait_change(min(left, CUT_OFF_CHECK_INTERVAL))
+            await self.wait_change(min(left, PARTITION_CHECK_INTERVAL))
         return self.leader
 
-    def cut_off(self):
+    def is_partitioned(self):
         """Tell whether nobody leads and too few members are reachable.
 
         Waiting for a leader is then pointless.
@@ -116,9 +116,9 @@
             if floor is not None:
                 return floor
             left = deadline - self.clock()
-            if left <= 0 or self.cut_off():
+            if left <= 0 or self.is_partitioned():
                 return None
-            await self.wait_proof(min(left, CUT_OFF_CHECK_INTERVAL))
+            await self.wait_proof(min(left, PARTITION_CHECK_INTERVAL))
 
     async def wait_proof(self, timeout):
         """Request a proof now and wait for it, for at most `timeout` seconds."""
--- a/packages/sessions/gypsum_sessions/takeover/peer_reachability.py
+++ b/packages/sessions/gypsum_sessions/takeover/peer_reachability.py
@@ -14,7 +14,7 @@
 class PeerReachability:
     """Tracks which other owners of a group have recently proven its primary.
 
-    The owners are asked only while this daemon has no proven primary. `vouched_at`
+    The owners are asked only while this daemon has no proven primary. `confirmed_at`
     maps an owner's name to the time of its latest proof, on this daemon's clock.
     """
 
@@ -22,20 +22,20 @@
         self.group = group
         self.around = group.around
         self.peers = peers
-        self.vouched_at = {}
+        self.confirmed_at = {}
 
-    def helpers(self):
+    def confirming_daemons(self):
         """Owners that recently proved the primary; none while this daemon proves it."""
         if self.group.watch.leader:
             return []
-        return usable_helpers(self.vouched_at, self.around.clock())
+        return usable_helpers(self.confirmed_at, self.around.clock())
 
     async def run(self):
         """Ask the other owners whenever no primary is proven here, until cancelled."""
         watch = self.group.watch
         while True:
             if watch.leader:
-                self.vouched_at.clear()
+                self.confirmed_at.clear()
                 await watch.wait_change(ASK_EVERY)
                 continue
             if not watch.last_leader:
@@ -70,8 +70,8 @@
         except PeerLost:
             return
         if vouches(answer.proof_age):
-            if not self.helpers() and not self.group.watch.leader:
+            if not self.confirming_daemons() and not self.group.watch.leader:
                 self.around.log(
                     PART, "another daemon leads on", group=self.group.name, by=name
                 )
-            self.vouched_at[name] = asked_at - answer.proof_age
+            self.confirmed_at[name] = asked_at - answer.proof_age
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -32,7 +32,7 @@
             # Without a record of the members the list may be incomplete, and it is
             # unknown which members are missing.
             return None
-        delay = self.place() * self.around.tuning.rank_delay
+        delay = self.rank() * self.around.tuning.rank_delay
         if not self.group.watch.leader:
             return Reason.NO_PRIMARY if self.primary_lost(delay) else None
         if self.writes_stalled(delay):
@@ -43,7 +43,7 @@
             return Reason.LEAVES
         return Reason.BEHIND if self.replicas_behind(delay) else None
 
-    def place(self):
+    def rank(self):
         """This daemon's position in the order of the group's owners, from 0."""
         return self.around.daemons.place(self.group.spec)
 
@@ -57,7 +57,7 @@
         if (
             since is None
             or self.group.watch.leader_may_be_at_limit()
-            or self.peer_reachability.helpers()
+            or self.peer_reachability.confirming_daemons()
         ):
             return False
         lost = self.around.clock() - since
--- a/tests/sessions/test_lost_lease.py
+++ b/tests/sessions/test_lost_lease.py
@@ -17,13 +17,13 @@
         await rig.settle()
         first, second = rig.proxies
         before = rig.leases.lease
-        assert await first.takeovers["db"].take_lease(Reason.NO_PRIMARY)
+        assert await first.takeovers["db"].acquire_lease(Reason.NO_PRIMARY)
         held = first.takeovers["db"].lease
         await asyncio.sleep(0.1)
         rig.leases.lease = before
-        assert not await second.takeovers["db"].take_lease(Reason.NO_PRIMARY)
+        assert not await second.takeovers["db"].acquire_lease(Reason.NO_PRIMARY)
         await asyncio.sleep(second.tuning.lease_rest)
-        assert await second.takeovers["db"].take_lease(Reason.NO_PRIMARY)
+        assert await second.takeovers["db"].acquire_lease(Reason.NO_PRIMARY)
         taken = second.takeovers["db"].lease
         assert taken.token > held.token
         assert taken.began == held.began
--- a/tests/sessions/test_peer_reachability.py
+++ b/tests/sessions/test_peer_reachability.py
@@ -44,8 +44,8 @@
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        places = [proxy.takeovers["db"].place() for proxy in rig.proxies]
-        first = rig.proxies[places.index(0)]
+        ranks = [proxy.takeovers["db"].rank() for proxy in rig.proxies]
+        first = rig.proxies[ranks.index(0)]
         rig.cut(first, "u1")
         await asyncio.sleep(8.0)
         assert rig.group.promotions == []
@@ -112,7 +112,7 @@
         await rig.settle()
         rig.group["u1"].crash()
         await asyncio.sleep(1.2)
-        assert not rig.proxy.groups["db"].watch.cut_off()
+        assert not rig.proxy.groups["db"].watch.is_partitioned()
         assert (await rig.caller("primary").send("WRITE a 1")).ok
 
     run(main())
--- a/tests/sessions/test_recorder.py
+++ b/tests/sessions/test_recorder.py
@@ -57,7 +57,7 @@
     async def main():
         rig = Rig(daemons=3)
         rig.group.add(1)
-        first = min(rig.proxies, key=lambda proxy: proxy.takeovers["db"].place())
+        first = min(rig.proxies, key=lambda proxy: proxy.takeovers["db"].rank())
         for proxy in rig.proxies:
             proxy.take_members(rig.group.listing())
             if proxy is not first:
