--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -104,7 +104,7 @@
                 self.attempting = False
 
     def should_resume(self):
-        """Tell whether replicas that this daemon paused should resume replication."""
+        """Return whether replicas that this daemon paused should resume replication."""
         return bool(
             self.group.watch.leader
             and self.replication.paused
@@ -188,7 +188,7 @@
         await self.resume_all()
 
     def superseded(self):
-        """Tell whether a token higher than ours is known."""
+        """Return whether a token higher than ours is known."""
         return self.lease_view.token(self.group.name) > self.lease.token
 
     async def refresh_members(self, reason):
@@ -203,7 +203,7 @@
             await self.group.watch.search()
 
     def reason_resolved(self, reason, old_primary):
-        """Tell whether the reason for an attempt no longer applies."""
+        """Return whether the reason for an attempt no longer applies."""
         leader = self.group.watch.leader
         if leader and leader != old_primary:
             return True
@@ -220,7 +220,7 @@
         return reason is Reason.STALLED and not self.group.stall.pending
 
     async def confirm_stall(self):
-        """Tell whether the leader's log reaches no replica.
+        """Return whether the leader's log reaches no replica.
 
         A single lost answer looks the same as a leader that is cut off from its
         replicas, so the replicas' received positions are checked. Replicas that are
@@ -268,7 +268,7 @@
         await self.resume_all()
 
     async def acquire_lease(self, reason):
-        """Acquire the lease with a new token; tell whether that succeeded."""
+        """Acquire the lease with a new token; return whether that succeeded."""
         name, tuning = self.group.name, self.around.tuning
         found = await self.leases.read(name)
         self.lease_view.record(name, found)
@@ -289,7 +289,7 @@
         return True
 
     async def run_round(self, reason, old_primary):
-        """Run one round of an attempt; tell whether the attempt is over.
+        """Run one round of an attempt; return whether the attempt is over.
 
         A round pauses the replicas, chooses a candidate and orders its promotion.
         """
@@ -375,7 +375,7 @@
             self.unanswered_orders.clear()
 
     def may_lack_commits(self, paused, candidate, old_primary):
-        """Tell whether the longest log may lack commits that a departed member has.
+        """Return whether the longest log may lack commits that a departed member has.
 
         Guards against data loss when the primary and the only replica that has a commit
         crash together: seconds later both are off the list, and a replica that was
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -89,7 +89,7 @@
         return self.leader
 
     def is_partitioned(self):
-        """Tell whether nobody leads and too few members are reachable.
+        """Return whether nobody leads and too few members are reachable.
 
         Waiting for a leader is then pointless.
         """
@@ -148,13 +148,13 @@
         return self.clock() - self.leaderless_since
 
     def led_recently(self, upstream):
-        """Tell whether a member was the last proven leader, and recently."""
+        """Return whether a member was the last proven leader, and recently."""
         newest = self.floors.newest
         known = newest is not None and upstream == self.last_leader
         return known and self.clock() - newest.asked_at < self.tuning.led_lately
 
     def leader_may_be_at_limit(self):
-        """Tell whether a member at its connection limit may be the leader.
+        """Return whether a member at its connection limit may be the leader.
 
         When all daemons restart at once, an upstream still counts their old connections
         and refuses new ones. No daemon can ask it for a proof then, and without this
@@ -255,7 +255,7 @@
         return None if position is None else (item.id, position, asked_at)
 
     def still_leads_when_busy(self, target):
-        """Tell whether a member that is too busy for a proof still counts as leader.
+        """Return whether a member that is too busy for a proof still counts as leader.
 
         A burst of load fills the leader's queue, so that the proof is refused. Without
         this a healthy primary would be replaced under peak load.
--- a/packages/sessions/gypsum_sessions/takeover/lease_view.py
+++ b/packages/sessions/gypsum_sessions/takeover/lease_view.py
@@ -89,16 +89,16 @@
         return known.lease.token if known else 0
 
     def unsettled(self, group):
-        """Tell whether orders under the highest known token may still take effect."""
+        """Return whether orders under the highest known token may still take effect."""
         known = self.seen.get(group)
         return known is not None and known.lease.token > 0 and not known.lease.settled
 
     def under_way(self, group):
-        """Tell whether the lease is unsettled and still within the takeover window."""
+        """Return whether the lease is unsettled and within the takeover window."""
         return self.unsettled(group) and self.age(group) < self.takeover_window
 
     def member_known(self, group, joined):
-        """Tell whether every unsettled takeover has a member on its list.
+        """Return whether every unsettled takeover has a member on its list.
 
         A takeover takes the lease and then reads the member list, so it knows all
         members listed before its lease was taken. `joined` is the store's revision at
@@ -112,7 +112,7 @@
         return joined <= self.known_revision
 
     def connection_trusted(self, group, opened_at):
-        """Tell whether a replica may confirm commits over a connection.
+        """Return whether a replica may confirm commits over a connection.
 
         A replica that a takeover has paused may restart, which ends the pause, and then
         receive and confirm a commit of the old primary while the takeover promotes
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -48,7 +48,7 @@
         return self.around.daemons.place(self.group.spec)
 
     def primary_lost(self, delay):
-        """Tell whether the group has been without a leader for long enough.
+        """Return whether the group has been without a leader for long enough.
 
         False if a member at its connection limit may be the leader, or another owner
         has recently proven the primary.
@@ -64,12 +64,12 @@
         return lost >= self.around.tuning.suspect_after + delay
 
     def writes_stalled(self, delay):
-        """Tell whether writes are pending at the primary and none is answered."""
+        """Return whether writes are pending at the primary and none is answered."""
         stalled_for = self.group.stall.stalled_for(self.around.clock())
         return stalled_for >= self.around.tuning.stall_after + delay
 
     def takeover_unfinished(self, delay):
-        """Tell whether a takeover was abandoned without settling its lease.
+        """Return whether a takeover was abandoned without settling its lease.
 
         Until another daemon finishes it, its replicas stay paused, and members that
         joined since cannot confirm commits because an order may still be carried out.
@@ -80,7 +80,7 @@
         return self.lease_view.age(name) >= self.around.tuning.settled_after + delay
 
     def primary_leaving(self, delay):
-        """Tell whether the primary is leaving and another member could lead."""
+        """Return whether the primary is leaving and another member could lead."""
         member = self.group.member(self.group.watch.leader)
         if member is None or member.leaving_since is None:
             return False
@@ -88,7 +88,7 @@
         return late and bool(self.successors(member.id))
 
     def replicas_behind(self, delay):
-        """Tell whether all reads go to the primary and exceed its capacity."""
+        """Return whether all reads go to the primary and exceed its capacity."""
         now, group = self.around.clock(), self.group
         leader = group.upstreams.get(group.watch.leader)
         replicas = [
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -154,7 +154,7 @@
         return False
 
     async def is_replica(self, old_primary):
-        """Tell whether a former primary answers that it is a replica now.
+        """Return whether a former primary answers that it is a replica now.
 
         It may have come back as a replica of a primary that this daemon never saw, and
         hold the only copy of a commit.
--- a/tests/sessions/fakegroup.py
+++ b/tests/sessions/fakegroup.py
@@ -79,7 +79,7 @@
 
     @property
     def leads(self):
-        """Tell whether this member leads now."""
+        """Return whether this member leads now."""
         return self.group.leader is self
 
     @property
@@ -88,7 +88,7 @@
         return self.log[-1].position if self.log else ORIGIN
 
     def holds(self, position):
-        """Tell whether the applied log holds a position."""
+        """Return whether the applied log holds a position."""
         return any(item.position == position for item in self.log[: self.applied])
 
     def value(self, item):
@@ -203,7 +203,7 @@
         return entry
 
     def received_elsewhere(self, source, entry):
-        """Tell whether a member other than the source has an entry."""
+        """Return whether a member other than the source has an entry."""
         others = (item for item in self.members if item is not source)
         return any(entry in item.log for item in others)
 
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -22,30 +22,30 @@
         proxy.take_members(listed)
 
 
-def longest_gap(told, after):
+def longest_gap(results, after):
     """The longest time between two successful writes, from `after` on, in seconds."""
-    times = sorted(at for _, refusal, at in told if refusal is None and at >= after)
+    times = sorted(at for _, refusal, at in results if refusal is None and at >= after)
     return max(late - early for early, late in zip(times, times[1:], strict=False))
 
 
 def test_writes_go_on_while_a_leaving_primary_hands_over():
     """Guards against writes stalling for a second whenever a primary leaves.
 
-    If a leaving primary were told to step down first, no member would lead until the
+    If a leaving primary were results to step down first, no member would lead until the
     promotion took effect.
     """
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writers = start_writers(rig, 5.0, told)
+        results = []
+        writers = start_writers(rig, 5.0, results)
         await asyncio.sleep(1.0)
         list_as_leaving(rig, "u1")
         await asyncio.gather(*writers)
         assert rig.group.leader is not rig.group["u1"]
-        check_nothing_lost(rig, told)
-        assert longest_gap(told, 0.5) < PROMOTE_TIME / 2
+        check_nothing_lost(rig, results)
+        assert longest_gap(results, 0.5) < PROMOTE_TIME / 2
 
     run(main())
 
@@ -54,8 +54,8 @@
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
-        told = []
-        await write_for(rig, rig.proxy, 0.5, told)
+        results = []
+        await write_for(rig, rig.proxy, 0.5, results)
         rig.group["u2"].not_receiving = rig.group["u3"].not_receiving = True
         rig.group["u2"].log = rig.group["u2"].log[:1]
         rig.group["u3"].log = rig.group["u3"].log[:2]
@@ -72,14 +72,14 @@
     assert not worth_changing(behind_for=2.0, pressed_for=1.0, led_for=3.0)
 
 
-async def send_random_reads(rig, proxy, rng, until, told):
+async def send_random_reads(rig, proxy, rng, until, results):
     """Send more reads to a daemon than one upstream can run, at random intervals."""
     running = []
     while rig.loop.time() < until:
         caller = rig.caller("own", proxy)
         running.append(asyncio.create_task(caller.send("READ a")))
         await asyncio.sleep(rng.expovariate(120.0))
-    told += await asyncio.gather(*running)
+    results += await asyncio.gather(*running)
 
 
 async def run_lagging_replicas():
@@ -94,17 +94,17 @@
     await asyncio.sleep(7.0)
     for member in rig.group.replicas():
         member.lag = 30.0
-    writes, told, until = [], [], rig.loop.time() + 10.0
+    writes, results, until = [], [], rig.loop.time() + 10.0
     writers = start_writers(rig, 10.0, writes)
     await asyncio.gather(
         *(
-            send_random_reads(rig, proxy, Random(number), until, told)
+            send_random_reads(rig, proxy, Random(number), until, results)
             for number, proxy in enumerate(rig.proxies)
         )
     )
     await asyncio.gather(*writers)
     check_nothing_lost(rig, writes)
-    served = sum(reply.ok for reply in told) / len(told)
+    served = sum(reply.ok for reply in results) / len(results)
     return served, len(rig.group.promotions)
 
 
--- a/tests/sessions/test_mass_restart.py
+++ b/tests/sessions/test_mass_restart.py
@@ -24,20 +24,20 @@
 START_GAP = 0.03
 
 
-async def run_load(rig, proxy, rng, rate, seconds, told, waiting=0):
+async def run_load(rig, proxy, rng, rate, seconds, results, waiting=0):
     """Run operations at a daemon: a third are writes, a quarter in transactions."""
     until = rig.loop.time() + seconds
     running = [
-        asyncio.create_task(run_operation(rig, proxy, rng, told))
+        asyncio.create_task(run_operation(rig, proxy, rng, results))
         for _ in range(waiting)
     ]
     while rig.loop.time() < until:
-        running.append(asyncio.create_task(run_operation(rig, proxy, rng, told)))
+        running.append(asyncio.create_task(run_operation(rig, proxy, rng, results)))
         await asyncio.sleep(rng.expovariate(rate))
     await asyncio.gather(*running)
 
 
-async def run_operation(rig, proxy, rng, told):
+async def run_operation(rig, proxy, rng, results):
     """Run one operation; append the refusal of its last statement and its seconds."""
     caller = rig.caller(rng.choice(["own", "bounded", "primary"]), proxy)
     began = rig.loop.time()
@@ -49,7 +49,7 @@
     if transaction and reply.ok:
         await asyncio.sleep(rng.random() * 0.3)
         reply = await caller.send("COMMIT")
-    told.append((reply.refusal, rig.loop.time() - began))
+    results.append((reply.refusal, rig.loop.time() - began))
     await proxy.close_session(caller.session)
 
 
@@ -75,7 +75,7 @@
             conn.close()
 
 
-async def restart_daemon(rig, number, tuning, told):
+async def restart_daemon(rig, number, tuning, results):
     """Restart one daemon with waiting callers; seconds until it found the leader."""
     await asyncio.sleep(number * START_GAP)
     names = [proxy.name for proxy in rig.proxies]
@@ -83,7 +83,7 @@
     proxy.keep_running(proxy.tend)
     began = rig.loop.time()
     calling = asyncio.create_task(
-        run_load(rig, proxy, Random(number), RETURN_RATE, 2.0, told, WAITING_CALLERS)
+        run_load(rig, proxy, Random(number), RETURN_RATE, 2.0, results, WAITING_CALLERS)
     )
     assert await proxy.groups["db"].watch.wait_leader(5.0)
     found = rig.loop.time() - began
@@ -102,17 +102,17 @@
     await run_normal_load(rig)
     lose_power(rig)
     await asyncio.sleep(1.0)
-    told = []
+    results = []
     found = await asyncio.gather(
-        *(restart_daemon(rig, number, tuning, told) for number in range(DAEMONS))
+        *(restart_daemon(rig, number, tuning, results) for number in range(DAEMONS))
     )
     assert rig.group.promotions == []
-    return found, told
+    return found, results
 
 
-def refused(told):
+def refused(results):
     """The number of operations that were refused."""
-    return sum(refusal is not None for refusal, _ in told)
+    return sum(refusal is not None for refusal, _ in results)
 
 
 def test_few_connections_leave_room_for_all_daemons():
@@ -122,13 +122,13 @@
     left, and many idle connections open before the loss would still be counted.
     """
     full_shares = replace(DEFAULT_SESSION_TUNING, modest_for=0.0, idle_limit=60.0)
-    _, told = run(run_power_loss(DEFAULT_SESSION_TUNING))
-    _, told_with_full_shares = run(run_power_loss(full_shares))
-    assert refused(told) <= 0.6 * refused(told_with_full_shares)
+    _, results = run(run_power_loss(DEFAULT_SESSION_TUNING))
+    _, results_with_full_shares = run(run_power_loss(full_shares))
+    assert refused(results) <= 0.6 * refused(results_with_full_shares)
 
 
 def test_daemons_serve_at_once_where_connections_are_not_scarce():
     """Without a shortage of connections the daemons serve without delay."""
-    found, told = run(run_power_loss(DEFAULT_SESSION_TUNING, connections=100))
+    found, results = run(run_power_loss(DEFAULT_SESSION_TUNING, connections=100))
     assert max(found) < 0.1
-    assert refused(told) <= 0.02 * len(told)
+    assert refused(results) <= 0.02 * len(results)
--- a/tests/sessions/test_peer_reachability.py
+++ b/tests/sessions/test_peer_reachability.py
@@ -25,17 +25,17 @@
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        cut, told = rig.proxies[0], []
+        cut, results = rig.proxies[0], []
         rig.cut(cut, "u1")
         await asyncio.sleep(1.5)
-        await write_for(rig, cut, 4.0, told)
-        assert all(refusal is None for _, refusal, _ in told)
+        await write_for(rig, cut, 4.0, results)
+        assert all(refusal is None for _, refusal, _ in results)
         assert (await rig.caller("primary", cut).send("READ a")).ok
         caller = rig.caller("own", cut)
         await caller.send("BEGIN")
         assert (await caller.send("WRITE tx 1")).ok
         assert (await caller.send("COMMIT")).ok
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
 
     run(main())
 
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -19,14 +19,14 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writer = asyncio.create_task(write_for(rig, rig.proxy, 8.0, told))
+        results = []
+        writer = asyncio.create_task(write_for(rig, rig.proxy, 8.0, results))
         await asyncio.sleep(1.0)
         for replica in rig.group.replicas():
             replica.paused = 2
         await writer
-        assert told[-1][1] is None
-        check_nothing_lost(rig, told)
+        assert results[-1][1] is None
+        check_nothing_lost(rig, results)
 
     run(main())
 
@@ -44,8 +44,8 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writers = start_writers(rig, 8.0, told)
+        results = []
+        writers = start_writers(rig, 8.0, results)
         await asyncio.sleep(1.0)
         rig.group["u1"].cut_from.update({"u2", "u3"})
         rig.promoter.late = [2.0]
@@ -53,7 +53,7 @@
         rig.group["u1"].cut_from.clear()
         await asyncio.gather(*writers)
         assert all(lost == [] for _, lost in rig.group.promotions)
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
 
     run(main())
 
@@ -70,16 +70,16 @@
         rig = Rig(daemons=1)
         await rig.settle()
         rig.promoter.late = [6.0]
-        told = []
-        writer = asyncio.create_task(write_for(rig, rig.proxy, 12.0, told))
+        results = []
+        writer = asyncio.create_task(write_for(rig, rig.proxy, 12.0, results))
         await asyncio.sleep(0.5)
         rig.group["u1"].unresponsive = True
         await asyncio.sleep(1.5)
         rig.group["u1"].unresponsive = False
         await writer
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
         assert all(lost == [] for _, lost in rig.group.promotions)
-        assert told[-1][1] is None
+        assert results[-1][1] is None
 
     run(main())
 
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -55,14 +55,14 @@
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        told = []
-        writers = start_writers(rig, 6.0, told)
+        results = []
+        writers = start_writers(rig, 6.0, results)
         await asyncio.sleep(1.0)
         rig.group["u1"].unresponsive = True
         await asyncio.gather(*writers)
         assert rig.group.promotions and rig.group.leader is not rig.group["u1"]
-        check_nothing_lost(rig, told)
-        assert writes_resumed_after(told, 1.1) < 2.2 + PROMOTE_TIME
+        check_nothing_lost(rig, results)
+        assert writes_resumed_after(results, 1.1) < 2.2 + PROMOTE_TIME
 
     run(main())
 
@@ -71,14 +71,14 @@
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        told = []
-        writer = asyncio.create_task(write_for(rig, rig.proxy, 6.0, told))
+        results = []
+        writer = asyncio.create_task(write_for(rig, rig.proxy, 6.0, results))
         await asyncio.sleep(1.0)
         rig.group["u1"].crash()
         await asyncio.sleep(3.0)
         rig.group["u1"].restart()
         await writer
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
         assert len(rig.group.promotions) == 1
 
     run(main())
@@ -120,10 +120,10 @@
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        told = []
+        results = []
         cut = rig.proxies[0]
         writers = [
-            asyncio.create_task(write_for(rig, proxy, 8.0, told))
+            asyncio.create_task(write_for(rig, proxy, 8.0, results))
             for proxy in rig.proxies[1:]
         ]
         await asyncio.sleep(0.5)
@@ -131,7 +131,7 @@
         for conn in list(rig.group["u1"].conns):
             conn.silent = conn.silent or conn.dialer is cut.around.dialer.dialer
         await asyncio.gather(*writers)
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
 
     run(main())
 
@@ -164,8 +164,8 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writer = asyncio.create_task(write_for(rig, rig.proxy, 5.0, told))
+        results = []
+        writer = asyncio.create_task(write_for(rig, rig.proxy, 5.0, results))
         await asyncio.sleep(1.0)
         leaving = [
             replace_leaving(member) if member.id == "u1" else member
@@ -175,8 +175,8 @@
             proxy.take_members(leaving)
         await writer
         assert rig.group.leader is not rig.group["u1"]
-        check_nothing_lost(rig, told)
-        assert writes_resumed_after(told, 1.2) < 1.2 + PROMOTE_TIME
+        check_nothing_lost(rig, results)
+        assert writes_resumed_after(results, 1.2) < 1.2 + PROMOTE_TIME
 
     run(main())
 
@@ -197,13 +197,13 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writers = start_writers(rig, 8.0, told)
+        results = []
+        writers = start_writers(rig, 8.0, results)
         await asyncio.sleep(1.0)
         rig.group["u1"].cut_from.update({"u2", "u3"})
         await asyncio.gather(*writers)
         assert rig.group.leader is not rig.group["u1"]
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
 
     run(main())
 
@@ -213,14 +213,14 @@
         rig = Rig(daemons=2)
         await rig.settle()
         rig.promoter.late = [4.0, 2.5]
-        told = []
-        writers = start_writers(rig, 15.0, told)
+        results = []
+        writers = start_writers(rig, 15.0, results)
         await asyncio.sleep(1.0)
         rig.group["u1"].unresponsive = True
         await asyncio.gather(*writers)
         assert all(lost == [] for _, lost in rig.group.promotions)
-        check_nothing_lost(rig, told)
-        assert told[-1][1] is None
+        check_nothing_lost(rig, results)
+        assert results[-1][1] is None
 
     run(main())
 
