--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -88,8 +88,8 @@
         """Check the group periodically and act on what is found, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
-            resting = self.around.clock() < self.backoff_until
-            reason = None if resting else self.reasons.find()
+            backing_off = self.around.clock() < self.backoff_until
+            reason = None if backing_off else self.reasons.find()
             if reason is None:
                 reason = Reason.RESUME if self.should_resume() else None
             if reason is None:
@@ -120,8 +120,8 @@
     async def attempt(self, reason):
         """Take the lease, pause the replicas and promote the one with the longest log.
 
-        The attempt ends when a member was promoted, the reason is gone, another daemon
-        took over, or the time is over.
+        The attempt ends when a member was promoted, the reason no longer applies,
+        another daemon took over, or the attempt timed out.
         """
         if reason is Reason.RESUME:
             await self.resume_all()
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -216,13 +216,13 @@
             answer = await self.ask_leader(item, item.pool.open_fresh())
         return bool(answer)
 
-    async def ask_leader(self, item, getting):
-        """Ask the leader for a proof: True if it leads, None if it gave no answer.
+    async def ask_leader(self, item, acquiring):
+        """Ask for a proof: whether the member leads, None if it gave no answer.
 
-        `getting` is the awaitable that yields the connection.
+        `acquiring` is the awaitable that yields the connection.
         """
         try:
-            result = await self.ask_member(item, getting)
+            result = await self.ask_member(item, acquiring)
         except UpstreamBusy:
             return self.still_leads_when_busy(item.id)
         except UpstreamRefused as exc:
@@ -239,13 +239,13 @@
         self.record_proof(*result)
         return True
 
-    async def ask_member(self, item, getting):
+    async def ask_member(self, item, acquiring):
         """Ask one member: (id, position, time asked), or None if it does not lead.
 
-        `getting` is the awaitable that yields the connection. Raises UpstreamError if
+        `acquiring` is the awaitable that yields the connection. Raises UpstreamError if
         the member gave no answer.
         """
-        pooled = await getting
+        pooled = await acquiring
         asked_at = self.clock()
         try:
             position = await prove_leads(pooled.conn, timeout=self.tuning.ping_timeout)
@@ -332,9 +332,9 @@
     async def probe(self, item):
         """Ask one member for a proof; None if it does not lead or on any failure."""
         timeout = self.tuning.ping_timeout
-        getting = item.pool.acquire(values={}, timeout=timeout, first=True)
+        acquiring = item.pool.acquire(values={}, timeout=timeout, first=True)
         try:
-            return await self.ask_member(item, getting)
+            return await self.ask_member(item, acquiring)
         except UpstreamError as exc:
             if isinstance(exc, UpstreamRefused) and exc.at_limit:
                 self.connection_limit_at = self.clock()
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -118,7 +118,7 @@
         ]
         chosen = pending or choose_heir(found)
         if chosen not in {item.id for item in others}:
-            self.log("no handover: every replica is leaving")
+            self.log("no handover: no suitable replica")
             return None
         held = [item for item in others if item.id != chosen]
         term = max(status.term for status in known) + 1
@@ -139,7 +139,10 @@
         return {item.id: status for item, status in zip(items, answers, strict=True)}
 
     async def wait_caught_up(self, target, paused):
-        """Wait until the handover target has received what the paused members have."""
+        """Wait until the handover target has received what the paused members have.
+
+        False if it does not answer, receives nothing or takes longer than allowed.
+        """
         longest = max((status.received for status in paused.values()), default=None)
         until = self.around.clock() + self.around.tuning.heir_wait
         while self.around.clock() < until:
