--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -14,11 +14,11 @@
 from gypsum_sessions.execution import writes
 from gypsum_sessions.takeover import reasons
 from gypsum_sessions.takeover.leader import LeaderWatch
-from gypsum_sessions.takeover.reach import Reach
+from gypsum_sessions.takeover.peer_reachability import PeerReachability
 from gypsum_sessions.takeover.replication import ReplicationControl
 from gypsum_sessions.tuning import SessionTuning
 from gypsum_sessions.upstreams import group
-from tests.sessions import rig, test_handover, test_lagging, test_return
+from tests.sessions import rig, test_handover, test_lagging, test_mass_restart
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 from tests.sessions.writers import start_writers, write_for
@@ -36,13 +36,15 @@
 
 def return_of_all():
     """Nine daemons come back while upstreams still count their lost connections."""
-    _, told = run(test_return.play(test_return.DEFAULT_SESSION_TUNING))
+    _, told = run(
+        test_mass_restart.run_power_loss(test_mass_restart.DEFAULT_SESSION_TUNING)
+    )
     return share(told, done=lambda item: item[0] is None)
 
 
 def far_replicas():
     """Replicas apply 30 s late, callers ask for twice what one upstream runs."""
-    return run(test_handover.play_far_replicas())[0]
+    return run(test_handover.run_lagging_replicas())[0]
 
 
 def lagging_commits():
@@ -80,7 +82,7 @@
         told = []
         writers = start_writers(rig, 5.0, told)
         await asyncio.sleep(1.0)
-        test_handover.leave(rig, "u1")
+        test_handover.list_as_leaving(rig, "u1")
         await asyncio.gather(*writers)
         return test_handover.longest_gap(told, 0.5)
 
@@ -177,7 +179,7 @@
     made = SessionTuning(**values)
     defaults = {**rig.Rig.__init__.__kwdefaults__, "tuning": made}
     return [
-        (test_return, "DEFAULT_SESSION_TUNING", made),
+        (test_mass_restart, "DEFAULT_SESSION_TUNING", made),
         (rig.Rig.__init__, "__kwdefaults__", defaults),
     ]
 
@@ -215,13 +217,13 @@
         (reasons, "should_hand_over", lambda **seen: False)
     ),
     "handover while the primary serves": lambda: without(
-        (ReplicationControl, "spare_heir", no_heir)
+        (ReplicationControl, "prepare_handover", no_heir)
     ),
     "helpers that reach the primary": lambda: without(
-        (Reach, "helpers", lambda self: [])
+        (PeerReachability, "confirming_daemons", lambda self: [])
     ),
     "refusal of a daemon that is cut off": lambda: without(
-        (LeaderWatch, "cut_off", lambda self: False)
+        (LeaderWatch, "is_partitioned", lambda self: False)
     ),
     "limit of work at upstreams": lambda: without(
         (group, "concurrency_limit", any_limit)
--- a/packages/policy/gypsum_policy/promotion.py
+++ b/packages/policy/gypsum_policy/promotion.py
@@ -52,7 +52,7 @@
     different members both took effect, the second one would lose what the first member
     acknowledged as primary.
     """
-    if any(item.upstream == pending and item.held_before for item in paused):
+    if any(item.upstream == pending and item.already_paused for item in paused):
         return pending
     best = max(
         paused,
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -137,7 +137,7 @@
         for item in group.upstreams.values()
         if item.id != leader
         and item.member.missing_since is None
-        and lease_view.knows(group.name, item.member.joined)
+        and lease_view.member_known(group.name, item.member.joined)
     ]
     staying = [item for item in known if item.member.active]
     return staying or known
@@ -195,7 +195,7 @@
             prefer_oldest=True,
         )
         try:
-            if not context.lease_view.trusts(group.name, pooled.opened_at):
+            if not context.lease_view.connection_trusted(group.name, pooled.opened_at):
                 return Evidence.UNKNOWN
             evidence = await query(item, pooled.conn, position, context.tuning)
         finally:
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -51,7 +51,7 @@
     """Set the minimum position that the read must show; False if none is proven."""
     context = group.context
     wait = job.time_left(context.clock) * context.tuning.leader_wait_share
-    floor = await group.watch.floor_since(job.arrived - job.route.max_age, wait)
+    floor = await group.watch.wait_floor(job.arrived - job.route.max_age, wait)
     if floor is None:
         return False
     job.floor_age = context.clock() - floor.asked_at
@@ -221,7 +221,7 @@
         raise
     except UpstreamError as exc:
         item.record_failure(exc, clock(), context.tuning)
-        group.watch.doubt(item.id)
+        group.watch.recheck(item.id)
         context.log(
             PART,
             "attempt failed",
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -104,7 +104,7 @@
             return cannot_confirm_reply(context.tuning)
         if await begin_at(group, tx, job, item, BEGIN_WRITING):
             return None
-        group.watch.doubt(item.id)
+        group.watch.recheck(item.id)
         await asyncio.sleep(BUSY_PAUSE)
     return no_leader_reply(context.tuning)
 
@@ -182,14 +182,14 @@
         async with count_statement(group, tx):
             reply = await send_until_accepted(group, tx, job)
     except UpstreamError as exc:
-        group.watch.doubt(tx.upstream)
+        group.watch.recheck(tx.upstream)
         await abandon(group, tx)
         return aborted_reply(str(exc))
     if reply.ok and reply.state is SessionState.IN_TRANSACTION:
         return reply
     await close(group, tx)
     if reply.refusal is Refusal.READ_ONLY:
-        group.watch.doubt(tx.upstream)
+        group.watch.recheck(tx.upstream)
     return aborted_reply(f"{reply.refusal} {reply.detail}")
 
 
@@ -250,7 +250,7 @@
         if stall_id:
             group.stall.end(stall_id, group.context.clock())
     except UpstreamError as exc:
-        group.watch.doubt(tx.upstream)
+        group.watch.recheck(tx.upstream)
         await abandon(group, tx)
         group.context.log(
             PART,
@@ -273,9 +273,9 @@
         if not await is_confirmed(group, reply.position, tx.upstream, timeout=left):
             return unconfirmed_reply()
         if reply.position is not None:
-            group.floors.learn(reply.position, asked_at)
+            group.floors.add(reply.position, asked_at)
         return reply
-    group.watch.doubt(tx.upstream)
+    group.watch.recheck(tx.upstream)
     return refused_commit(tx, reply)
 
 
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -60,7 +60,7 @@
         if reply.refusal is Refusal.BUSY:
             item.admission.queue.record_rejection(clock())
         else:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
         await asyncio.sleep(REFUSED_PAUSE)
     if last is None:
         return no_leader_reply(context.tuning)
@@ -79,7 +79,7 @@
         try:
             await sync_session(group, job, pooled)
         except UpstreamError as exc:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
             raise NotSent(str(exc)) from exc
         asked_at = clock()
         stall_id = group.stall.begin(asked_at)
@@ -88,7 +88,7 @@
                 job.statement, timeout=job.time_left(clock), request=job.request
             )
         except UpstreamError as exc:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
             return lost_write(group, job, item, exc)
         group.stall.end(stall_id, clock())
         if reply.ok:
@@ -100,7 +100,7 @@
             ):
                 return unconfirmed_reply()
             if reply.position is not None:
-                group.floors.learn(reply.position, asked_at)
+                group.floors.add(reply.position, asked_at)
         if reply.refusal is Refusal.UNKNOWN_NAME:
             pooled.dirty = True
         return reply
@@ -165,7 +165,7 @@
                 workspace=job.workspace,
             )
         except UpstreamError as exc:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
             raise NotSent(str(exc)) from exc
         try:
             await pooled.conn.ask(ROLLBACK, timeout=tuning.ping_timeout)
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -1,12 +1,14 @@
-"""Replacing a group's primary: when, by whom, and by which of its replicas.
+"""Replaces a group's primary with one of its replicas.
 
-A replica may only lead if its log holds every acknowledged commit. A commit is
-acknowledged once one replica has received it. So replication is paused on every
-replica first: from then on nothing more can be acknowledged, and the longest of the
-paused logs holds all that was. If one replica cannot be paused, nothing is promoted.
+A replica may only be promoted if its log holds every acknowledged commit. A commit is
+acknowledged once one replica has received it. Replication is therefore paused on every
+replica first: from then on no further commit can be acknowledged, and the longest of
+the paused logs holds all acknowledged commits. If one replica cannot be paused, nothing
+is promoted.
 
-The lease restrains, the fence makes safe: the store gives each take-over a higher
-token, and orders with a lower one than was seen are refused.
+The lease reduces concurrent takeovers but does not exclude them. Safety comes from
+fencing: the store gives each takeover a higher token, and the platform refuses orders
+whose token is lower than the highest one it has seen.
 """
 
 import asyncio
@@ -20,178 +22,209 @@
 from gypsum_sessions.upstreams.borrow import borrow_connection
 
 PART = "takeover"
-# How often a group is looked at, seconds.
-LOOK_EVERY = 0.1
-# Pause between two rounds of an attempt, seconds.
-ROUND_PAUSE = 0.1
-# An attempt that found no way in this time is given up, seconds.
-ATTEMPT_LIMIT = 12.0
-# ... and one that is for the load's sake sooner: callers wait for replicas meanwhile.
-# A promotion takes up to one second of it.
-BEHIND_LIMIT = 3.0
-# Reasons to replace a primary that serves.
-HANDOVERS = frozenset({Reason.LEAVES, Reason.BEHIND})
-# A member that crashed is back within this, seconds: ten ordinary restarts.
-DEPARTED_WAIT = 15.0
+# Interval between checks of a group, seconds.
+CHECK_INTERVAL = 0.1
+# Delay between two rounds of an attempt, seconds.
+ROUND_INTERVAL = 0.1
+# An attempt that has not succeeded within this time is abandoned, seconds.
+ATTEMPT_TIMEOUT = 12.0
+# An attempt because all replicas are behind is abandoned sooner, since callers wait for
+# replicas meanwhile. A promotion takes up to one second of it.
+BEHIND_ATTEMPT_TIMEOUT = 3.0
+# Reasons to replace a primary that still serves.
+HANDOVER_REASONS = frozenset({Reason.LEAVES, Reason.BEHIND})
+# How long members that went off the list are waited for, seconds. A member that crashed
+# is back within this time: it equals ten ordinary restarts.
+DEPARTED_MEMBER_TIMEOUT = 15.0
 
 
 class Takeover:
-    """Watches one group and replaces its primary when it is out of service."""
+    """Watches one group and replaces its primary when there is a reason to.
+
+    `pending_order` is the member of a promotion order that got no answer.
+    `unanswered_orders` holds all members whose orders may still be carried out. No
+    attempt starts before `backoff_until`.
+    """
 
     def __init__(
-        self, *, group, daemon, leases, board, promoter, relist, recorder, reach
+        self,
+        *,
+        group,
+        daemon,
+        leases,
+        lease_view,
+        promoter,
+        relist,
+        recorder,
+        peer_reachability,
     ):
         self.group = group
         self.context = group.context
         self.daemon = daemon
         self.leases = leases
-        self.board = board
+        self.lease_view = lease_view
         self.promoter = promoter
         self.relist = relist
-        self.reasons = Reasons(group=group, board=board, recorder=recorder, reach=reach)
+        self.reasons = Reasons(
+            group=group,
+            lease_view=lease_view,
+            recorder=recorder,
+            peer_reachability=peer_reachability,
+        )
         self.lease = None
-        self.control = ReplicationControl(group=group, log=self.log)
-        self.ordered = ""
-        self.unanswered = set()
+        self.replication = ReplicationControl(group=group, log=self.log)
+        self.pending_order = ""
+        self.unanswered_orders = set()
         self.waiting_for = []
-        self.rest_until = 0.0
+        self.backoff_until = 0.0
         self.promotions = 0
         self.attempting = False
 
     def log(self, event, **fields):
-        """Write one line about this group."""
+        """Log an event with the group's name."""
         self.context.log(PART, event, group=self.group.name, **fields)
 
     async def run(self):
-        """Look at the group for ever."""
+        """Check the group periodically and act on what is found, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_EVERY)
-            resting = self.context.clock() < self.rest_until
-            reason = None if resting else self.reasons.find()
+            await asyncio.sleep(CHECK_INTERVAL)
+            backing_off = self.context.clock() < self.backoff_until
+            reason = None if backing_off else self.reasons.find()
             if reason is None:
-                reason = Reason.RESUME if self.may_resume() else None
+                reason = Reason.RESUME if self.should_resume() else None
             if reason is None:
                 continue
             self.attempting = True
             try:
                 await self.attempt(reason)
             except (LeaseError, UpstreamError) as exc:
-                self.log("attempt ended", error=str(exc))
-                self.rest_until = self.context.clock() + self.context.tuning.lease_rest
+                self.log("attempt aborted", error=str(exc))
+                self.backoff_until = self.context.clock() + self.context.tuning.lease_rest
             finally:
                 self.attempting = False
 
-    def may_resume(self):
-        """Tell whether replicas that we paused should go on."""
+    def should_resume(self):
+        """Return whether replicas that this daemon paused should resume replication."""
         return bool(
             self.group.watch.leader
-            and self.control.paused
-            and self.context.clock() >= self.rest_until
+            and self.replication.paused
+            and self.context.clock() >= self.backoff_until
         )
 
-    def place(self):
-        """This daemon's place in the order for the group."""
-        return self.reasons.place()
+    def rank(self):
+        """This daemon's position in the order in which owners take over."""
+        return self.reasons.rank()
 
     # One attempt
 
     async def attempt(self, reason):
-        """Take the lease, pause the replicas, promote the longest log."""
+        """Take the lease, pause the replicas and promote the one with the longest log.
+
+        The attempt ends when a member was promoted, the reason no longer applies,
+        another daemon took over, or the attempt timed out.
+        """
         if reason is Reason.RESUME:
             await self.resume_all()
             return
         if reason is Reason.UNSETTLED:
-            await self.finish_for_another()
+            await self.finish_abandoned_takeover()
             return
         if reason is Reason.STALLED and not await self.confirm_stall():
             return
-        if not await self.take_lease(reason):
+        if not await self.acquire_lease(reason):
             return
-        self.ordered = ""
-        self.unanswered = set()
-        await self.refresh(reason)
-        old = self.group.presumed_leader()
-        limit = BEHIND_LIMIT if reason is Reason.BEHIND else ATTEMPT_LIMIT
+        self.pending_order = ""
+        self.unanswered_orders = set()
+        await self.refresh_members(reason)
+        old_primary = self.group.presumed_leader()
+        limit = BEHIND_ATTEMPT_TIMEOUT if reason is Reason.BEHIND else ATTEMPT_TIMEOUT
         deadline = self.context.clock() + limit
         while self.context.clock() < deadline:
-            if self.settled(reason, old):
-                self.log("given up, the reason is gone", reason=str(reason))
+            if self.reason_resolved(reason, old_primary):
+                self.log(
+                    "attempt abandoned: reason no longer applies", reason=str(reason)
+                )
                 await self.settle()
                 return
             if self.superseded():
-                self.log("given up, another daemon took over")
+                self.log("attempt abandoned: another daemon took over")
                 return
-            if await self.try_once(reason, old):
+            if await self.run_round(reason, old_primary):
                 return
-            await asyncio.sleep(ROUND_PAUSE)
+            await asyncio.sleep(ROUND_INTERVAL)
         self.log("attempt timed out")
         await self.settle()
 
     async def settle(self):
-        """Mark our lease as settled, unless an order of ours may still change anything.
+        """Mark our lease as settled unless one of our orders may still have an effect.
 
-        One for the member that leads changes nothing when it is carried out again.
+        An unanswered order for the member that leads already has no effect when it is
+        carried out later.
         """
-        if self.unanswered - {self.group.watch.leader} or self.superseded():
+        if self.unanswered_orders - {self.group.watch.leader} or self.superseded():
             return
         lease = await self.leases.settle(self.group.name, self.lease)
         if lease is not None:
             self.lease = lease
-            self.board.note(self.group.name, lease)
+            self.lease_view.record(self.group.name, lease)
+
+    async def finish_abandoned_takeover(self):
+        """Finish a takeover that its holder abandoned.
 
-    async def finish_for_another(self):
-        """Confirm the primary under a new token, and let paused replicas go on."""
+        Confirms the primary under a new token and resumes the paused replicas.
+        """
         replicas = [
             item
             for item in self.group.upstreams.values()
             if item.id != self.group.watch.leader
         ]
         statuses = await asyncio.gather(
-            *(self.control.status_of(item) for item in replicas)
+            *(self.replication.status_of(item) for item in replicas)
         )
         for item, status in zip(replicas, statuses, strict=True):
             if status is not None and status.held_term:
-                self.control.paused[item.id] = status.held_term
+                self.replication.paused[item.id] = status.held_term
         self.lease = None
         await self.resume_all()
 
     def superseded(self):
-        """Tell whether a higher token than ours is known."""
-        return self.board.token(self.group.name) > self.lease.token
+        """Return whether a token higher than ours is known."""
+        return self.lease_view.token(self.group.name) > self.lease.token
 
-    async def refresh(self, reason):
-        """Read the members anew before anything is decided about them.
+    async def refresh_members(self, reason):
+        """Read the member list again before deciding anything about the members.
 
-        What goes wrong without it: a daemon that was cut off from the store does not
-        know of a promotion and of members that joined meanwhile; it sees the old
-        primary dead, and deposes the new one.
+        A daemon that was cut off from the store does not know of a promotion or of
+        members that joined meanwhile. With its old list it would see that the old
+        primary is dead and depose the new one.
         """
         await self.relist()
         if reason is Reason.NO_PRIMARY:
             await self.group.watch.search()
 
-    def settled(self, reason, old):
-        """Tell whether the reason for an attempt is gone."""
+    def reason_resolved(self, reason, old_primary):
+        """Return whether the reason for an attempt no longer applies."""
         leader = self.group.watch.leader
-        if leader and leader != old:
+        if leader and leader != old_primary:
             return True
-        if self.ordered:
-            # An order without an answer may still be carried out: it is seen through,
-            # or the old primary would serve until it falls, and lose what it did.
+        if self.pending_order:
+            # An unanswered order may still be carried out, so the attempt continues.
+            # Otherwise the old primary would serve until the order takes effect, and
+            # the commits it acknowledged meanwhile would be lost.
             return False
         if reason is Reason.NO_PRIMARY:
             return bool(leader)
         if reason is Reason.BEHIND:
-            # A primary that is gone meanwhile is another reason.
+            # A primary lost meanwhile is a different reason.
             return not leader
-        return reason is Reason.STALLED and not self.group.stall.started
+        return reason is Reason.STALLED and not self.group.stall.pending
 
     async def confirm_stall(self):
-        """Tell whether the leader's log reaches no replica.
+        """Return whether the leader's log reaches no replica.
 
-        What goes wrong without it: a single lost answer looks like a leader that is
-        cut from its group. Replicas that are merely paused, by an order that was
-        carried out late, are resumed instead.
+        A single lost answer looks the same as a leader that is cut off from its
+        replicas, so the replicas' received positions are checked. Replicas that are
+        only paused, by a command that was carried out late, are resumed instead.
         """
         floor = self.group.floors.newest
         replicas = [
@@ -203,11 +236,11 @@
             return False
         await asyncio.sleep(self.context.tuning.stall_look)
         statuses = await asyncio.gather(
-            *(self.control.status_of(item) for item in replicas)
+            *(self.replication.status_of(item) for item in replicas)
         )
         known = [status for status in statuses if status is not None]
         if any(status.received >= floor.position for status in known):
-            self.group.stall.forget()
+            self.group.stall.reset()
             return False
         held = {
             item.id: status.held_term
@@ -215,107 +248,112 @@
             if status is not None and status.held_term
         }
         if held:
-            await self.found_paused(held)
+            await self.handle_paused_replicas(held)
             return False
         return bool(known)
 
-    async def found_paused(self, held):
-        """Replicas are paused: by a takeover that goes on, or by a forgotten order.
+    async def handle_paused_replicas(self, held):
+        """Resume replicas that were found paused, unless a takeover may be under way.
 
-        What goes wrong without the wait: a rival has paused them and its promotion
-        is under way; resumed, they let the old primary acknowledge commits that the
-        new one will not have.
+        If another daemon has paused them and its promotion is under way, resuming them
+        would let the old primary acknowledge commits that the new one will not have.
         """
-        age = self.board.age(self.group.name)
+        age = self.lease_view.age(self.group.name)
         self.log("replicas found paused", held=held, lease_age=round(age, 2))
         if age < self.context.tuning.settled_after:
-            self.rest_until = self.context.clock() + ROUND_PAUSE
+            self.backoff_until = self.context.clock() + ROUND_INTERVAL
             return
-        self.control.paused.update(held)
+        self.replication.paused.update(held)
         self.lease = None
         await self.resume_all()
 
-    async def take_lease(self, reason):
-        """Get a fresh token for this attempt; tell whether we have it."""
+    async def acquire_lease(self, reason):
+        """Acquire the lease with a new token; return whether that succeeded."""
         name, tuning = self.group.name, self.context.tuning
         found = await self.leases.read(name)
-        self.board.note(name, found)
-        seen = self.board.newest(name, found)
+        self.lease_view.record(name, found)
+        seen = self.lease_view.newest(name, found)
         foreign = seen.holder not in ("", self.daemon)
-        if foreign and self.board.age(name) < tuning.lease_rest:
+        if foreign and self.lease_view.age(name) < tuning.lease_rest:
             self.log("left to its holder", reason=reason, holder=seen.holder)
-            self.rest_until = self.context.clock() + tuning.lease_look
+            self.backoff_until = self.context.clock() + tuning.lease_look
             return False
         lease = await self.leases.take(name, self.daemon, seen)
         if lease is None:
             self.log("lease taken by another", reason=reason)
-            self.rest_until = self.context.clock() + tuning.lease_look
+            self.backoff_until = self.context.clock() + tuning.lease_look
             return False
         self.lease = lease
-        self.board.note(name, lease)
+        self.lease_view.record(name, lease)
         self.log("lease taken", reason=reason, token=lease.token, after=seen.holder)
         return True
 
-    async def try_once(self, reason, old):
-        """One round: pause, choose, order; tell whether the attempt is over."""
-        best = await self.choose(reason, old)
-        if not best:
+    async def run_round(self, reason, old_primary):
+        """Run one round of an attempt; return whether the attempt is over.
+
+        A round pauses the replicas, chooses a candidate and orders its promotion.
+        """
+        candidate = await self.choose_candidate(reason, old_primary)
+        if not candidate:
             return False
-        outcome = await self.order(best)
-        self.log("promotion ordered", upstream=best, outcome=str(outcome))
-        self.ordered = best if outcome is PromoteOutcome.UNANSWERED else ""
-        self.note_outcome(best, outcome)
+        outcome = await self.order_promotion(candidate)
+        self.log("promotion ordered", upstream=candidate, outcome=str(outcome))
+        self.pending_order = candidate if outcome is PromoteOutcome.UNANSWERED else ""
+        self.record_outcome(candidate, outcome)
         if outcome is PromoteOutcome.NOT_DONE:
             return False
-        if outcome is not PromoteOutcome.REFUSED and await self.wait_led_by(
-            best, self.patience(outcome)
+        if outcome is not PromoteOutcome.REFUSED and await self.wait_until_leads(
+            candidate, self.promotion_timeout(outcome)
         ):
             self.promotions += 1
-            self.control.paused.clear()
-            self.rest_until = self.context.clock() + self.context.tuning.lease_look
+            self.replication.paused.clear()
+            self.backoff_until = self.context.clock() + self.context.tuning.lease_look
             await self.settle()
             return True
-        # The token is spent: the order may still be carried out, or was refused.
-        return not await self.take_lease("again")
+        # The token cannot be used again: the order was refused or may still be carried
+        # out.
+        return not await self.acquire_lease("again")
 
-    async def choose(self, reason, old):
-        """Pause who has to be and choose who leads; empty if nobody can yet.
+    async def choose_candidate(self, reason, old_primary):
+        """Pause replicas and choose the member to promote; empty if none can be yet.
 
-        A primary that serves is replaced while it does. What goes wrong when it steps
-        down first: writes stand still for as long as a promotion takes, a second, each
-        time a primary leaves.
+        A primary that serves keeps serving until the promotion takes effect. If it
+        stepped down first, writes would stall for the duration of a promotion, about
+        a second, each time a primary leaves.
         """
-        if reason in HANDOVERS and self.group.watch.leader == old:
-            found = await self.control.spare_heir(old, self.ordered)
+        if reason in HANDOVER_REASONS and self.group.watch.leader == old_primary:
+            found = await self.replication.prepare_handover(
+                old_primary, self.pending_order
+            )
             if found is not None:
-                heir, paused = found
-                self.log("handing over", upstream=heir, token=self.lease.token)
-                return heir
+                target, paused = found
+                self.log("handing over", upstream=target, token=self.lease.token)
+                return target
             if reason is Reason.BEHIND:
                 return ""
-        paused = await self.control.pause_all(
-            old,
+        paused = await self.replication.pause_all(
+            old_primary,
             step_down=reason is Reason.LEAVES,
-            sure=self.group.watch.led_lately(old),
+            led_recently=self.group.watch.led_recently(old_primary),
         )
         if paused is None:
             return ""
-        best = choose_promotion_target(paused, self.ordered)
-        if self.lacks_commits(paused, best, old):
+        candidate = choose_promotion_target(paused, self.pending_order)
+        if self.may_lack_commits(paused, candidate, old_primary):
             return ""
         self.log(
             "promoting",
-            upstream=best,
+            upstream=candidate,
             token=self.lease.token,
             received={item.upstream: str(item.status.received) for item in paused},
         )
-        return best
+        return candidate
 
-    async def order(self, upstream):
-        """Order that a member leads; NOT_DONE if it is not known any more.
+    async def order_promotion(self, upstream):
+        """Order a member's promotion; NOT_DONE if the member is no longer known.
 
-        What goes wrong without the look: it started again meanwhile, empty, and the
-        platform, which knows it by its name alone, promotes the empty one.
+        A member that restarted meanwhile is empty and has a new id. The platform knows
+        members by name only and would promote the empty one.
         """
         member = self.group.member(upstream)
         if member is None:
@@ -324,68 +362,71 @@
             self.group.name, member.stable_name, self.daemon, self.lease.token
         )
 
-    def note_outcome(self, upstream, outcome):
-        """Remember orders that may still be carried out.
+    def record_outcome(self, upstream, outcome):
+        """Keep track of orders that may still be carried out.
 
-        An order that was accepted shows that the platform has seen our token: earlier
-        orders are refused from then on. A refusal shows nothing, it may mean that the
-        upstream does not run.
+        An accepted order proves that the platform has seen our token, so it refuses
+        earlier orders from then on. A refusal proves nothing: the upstream may just not
+        be running.
         """
         if outcome is PromoteOutcome.UNANSWERED:
-            self.unanswered.add(upstream)
+            self.unanswered_orders.add(upstream)
         elif outcome is PromoteOutcome.ACCEPTED:
-            self.unanswered.clear()
+            self.unanswered_orders.clear()
 
-    def lacks_commits(self, paused, best, old):
-        """Tell whether the longest log lacks what a member that is gone may have.
+    def may_lack_commits(self, paused, candidate, old_primary):
+        """Return whether the longest log may lack commits that a departed member has.
 
-        What goes wrong without it: the primary and the only replica that has a commit
-        crash together; seconds later both are off the list, and one that was behind is
-        promoted. Members that do not come back are waited for within bounds. Where only
-        the old primary is gone, all replicas are paused and nothing can be missing but
-        what was never acknowledged.
+        Guards against data loss when the primary and the only replica that has a commit
+        crash together: seconds later both are off the list, and a replica that was
+        behind would be promoted. Departed members are waited for during
+        DEPARTED_MEMBER_TIMEOUT. If only the old primary is gone, all replicas are
+        paused and only commits that were never acknowledged can be missing.
         """
         shown = self.group.floors.highest
-        since = self.context.clock() - DEPARTED_WAIT
-        departed = [name for name in self.group.departed_since(since) if name != old]
+        since = self.context.clock() - DEPARTED_MEMBER_TIMEOUT
+        departed = [
+            name for name in self.group.departed_since(since) if name != old_primary
+        ]
         received = {item.upstream: item.status.received for item in paused}
-        if shown is None or not departed or received[best] >= shown:
+        if shown is None or not departed or received[candidate] >= shown:
             return False
         if departed != self.waiting_for:
             self.waiting_for = departed
             self.log(
                 "waiting for departed members",
                 departed=departed,
-                longest=str(received[best]),
+                longest=str(received[candidate]),
                 shown=str(shown),
             )
         return True
 
-    def patience(self, outcome):
-        """How long an ordered promotion is waited for.
+    def promotion_timeout(self, outcome):
+        """Seconds to wait until an ordered promotion shows.
 
-        One without an answer is ordered again soon, under a new token: carried out
-        seconds later, the first would meet logs that have grown past it.
+        After an unanswered order a new one is sent soon, under a higher token. If the
+        first were carried out seconds later, the other logs could have grown past that
+        of the promoted member.
         """
         tuning = self.context.tuning
         if outcome is PromoteOutcome.UNANSWERED:
             return tuning.unanswered_wait
         return tuning.promotion_wait
 
-    async def wait_led_by(self, upstream, patience):
-        """Wait until a member leads; tell whether it does."""
-        deadline = self.context.clock() + patience
+    async def wait_until_leads(self, upstream, timeout):
+        """Wait until a member leads; False if it does not within `timeout` seconds."""
+        deadline = self.context.clock() + timeout
         while self.context.clock() < deadline:
             item = self.group.upstreams.get(upstream)
             if item is None:
                 return False
-            if self.group.watch.leader == upstream or await self.leads(item):
+            if self.group.watch.leader == upstream or await self.check_leads(item):
                 return True
-            await asyncio.sleep(ROUND_PAUSE / 2)
+            await asyncio.sleep(ROUND_INTERVAL / 2)
         return False
 
-    async def leads(self, item):
-        """Ask a member whether it leads."""
+    async def check_leads(self, item):
+        """Ask a member for a proof that it leads; False if it gives none."""
         try:
             async with borrow_connection(self.context, item, urgent=True) as conn:
                 asked_at = self.context.clock()
@@ -395,29 +436,32 @@
         except UpstreamError:
             return False
         if position is not None:
-            self.group.watch.proven(item.id, position, asked_at)
+            self.group.watch.record_proof(item.id, position, asked_at)
         return position is not None
 
     async def resume_all(self):
-        """Let paused replicas go on: the primary is back and was not replaced.
+        """Resume paused replicas once the primary is back and was not replaced.
 
-        Only while nobody took the lease after us: a rival relies on the pause. And
-        only after the primary was confirmed under a new token: an order of ours that
-        got no answer may be carried out seconds later, and must be refused then.
+        Nothing is resumed if another daemon took the lease after us, because its
+        takeover relies on the pause. The primary is confirmed under a new token first:
+        an unanswered order of ours may be carried out seconds later and must be refused
+        then.
         """
-        ours = self.lease.token if self.lease else self.board.token(self.group.name)
-        if self.board.token(self.group.name) > ours:
-            self.log("left paused for the daemon that took over")
-            self.control.paused.clear()
+        ours = (
+            self.lease.token if self.lease else self.lease_view.token(self.group.name)
+        )
+        if self.lease_view.token(self.group.name) > ours:
+            self.log("replicas left paused: another daemon took over")
+            self.replication.paused.clear()
             return
         leader = self.group.watch.leader
-        if not leader or not await self.take_lease(Reason.RESUME):
+        if not leader or not await self.acquire_lease(Reason.RESUME):
             return
-        outcome = await self.order(leader)
+        outcome = await self.order_promotion(leader)
         self.log("primary confirmed", upstream=leader, outcome=str(outcome))
-        self.note_outcome(leader, outcome)
+        self.record_outcome(leader, outcome)
         if outcome is not PromoteOutcome.ACCEPTED:
-            self.rest_until = self.context.clock() + self.context.tuning.lease_look
+            self.backoff_until = self.context.clock() + self.context.tuning.lease_look
             return
-        await self.control.resume_all()
+        await self.replication.resume_all()
         await self.settle()
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -1,9 +1,9 @@
-"""Finding out who leads a group, and proving it again and again.
+"""Finds the leader of a group and keeps verifying that it leads.
 
-An upstream proves that it leads by accepting BEGIN for a writing transaction. The
-position it shows with that is a floor. Proofs go before statements that wait for a
-connection and may open one beyond the pool's limit, so that long statements do not
-hold them up.
+An upstream proves that it leads by accepting BEGIN for a read-write transaction. The
+position in its reply is a read floor. Proofs take precedence over statements that wait
+for a connection and may open a connection beyond the pool's limit, so that long
+statements do not delay them.
 """
 
 import asyncio
@@ -19,14 +19,15 @@
 from gypsum_sessions.statements import BEGIN_WRITING, ROLLBACK
 
 PART = "leader"
-# How often those who wait for a leader look whether it is worth it, seconds.
-CUT_LOOK = 0.1
+# How often tasks that wait for a leader check whether this daemon is cut off, seconds.
+PARTITION_CHECK_INTERVAL = 0.1
 
 
 async def prove_leads(conn, *, timeout):
-    """Ask an upstream to prove that it leads; its position, or None if it refuses.
+    """Ask an upstream for a proof that it leads: its position, or None if it does not.
 
-    Raises UpstreamLost or UpstreamSilent, and UpstreamBusy if it could not look.
+    Raises UpstreamLost or UpstreamSilent if there is no answer, and UpstreamBusy if the
+    upstream is too busy to run the statement.
     """
     begun, ended = await asyncio.gather(
         conn.ask(BEGIN_WRITING, timeout=timeout),
@@ -47,7 +48,13 @@
 
 
 class LeaderWatch:
-    """Keeps the leader of one group proven; the source of the group's floors."""
+    """Tracks the proven leader of one group and records the group's read floors.
+
+    `leader` is the id of the proven leader, empty if there is none. `last_leader` is
+    the last member that was proven. `leaderless_since` is the time since which no
+    leader has been proven, None while one is. `connection_limit_at` is when a member
+    last refused a connection because it was at its limit.
+    """
 
     def __init__(self, *, group, floors, clock, tuning, log):
         self.group = group
@@ -58,31 +65,34 @@
         self.leader = ""
         self.leaderless_since = None
         self.changed = asyncio.Event()
-        self.wanted = asyncio.Event()
-        self.proofs = []
-        self.asking = {}
+        self.proof_requested = asyncio.Event()
+        self.proof_waiters = []
+        self.pending_probes = {}
         self.last_leader = ""
-        self.full_at = float("-inf")
-        self.found_at = float("-inf")
+        self.connection_limit_at = float("-inf")
+        self.leader_since = float("-inf")
 
-    def note(self, event, upstream, **fields):
-        """Write one line about this group."""
+    def log_event(self, event, upstream, **fields):
+        """Log an event with the group's name and an upstream."""
         self.log(PART, event, group=self.group.name, upstream=upstream, **fields)
 
-    # For the rest of the daemon
+    # Used by other packages
 
     async def wait_leader(self, timeout):
-        """The proven leader's id, or empty if there is none in time."""
+        """The proven leader's id; empty if none is proven within `timeout` seconds."""
         deadline = self.clock() + timeout
         while not self.leader:
             left = deadline - self.clock()
-            if left <= 0 or self.cut_off():
+            if left <= 0 or self.is_partitioned():
                 return ""
-            await self.wait_change(min(left, CUT_LOOK))
+            await self.wait_change(min(left, PARTITION_CHECK_INTERVAL))
         return self.leader
 
-    def cut_off(self):
-        """Tell whether nobody leads and too few members are in reach to wait for it."""
+    def is_partitioned(self):
+        """Return whether nobody leads and too few members are reachable.
+
+        Waiting for a leader is then pointless.
+        """
         now, items = self.clock(), self.group.upstreams.values()
         since = self.leaderless_since
         if self.leader or since is None or now - since < UNREACHABLE_AFTER:
@@ -90,7 +100,7 @@
         return is_partitioned([item.last_response_at for item in items], now)
 
     async def wait_change(self, timeout):
-        """Wait until the leader is found or lost."""
+        """Wait until the leader is found or lost, for at most `timeout` seconds."""
         event = self.changed
         try:
             async with asyncio.timeout(timeout):
@@ -98,31 +108,31 @@
         except TimeoutError:
             return
 
-    async def floor_since(self, not_before, timeout):
-        """A floor asked for at or after a time; None if no leader proves one."""
+    async def wait_floor(self, not_before, timeout):
+        """A floor asked for at or after `not_before`; None if there is none in time."""
         deadline = self.clock() + timeout
         while True:
             floor = self.floors.since(not_before)
             if floor is not None:
                 return floor
             left = deadline - self.clock()
-            if left <= 0 or self.cut_off():
+            if left <= 0 or self.is_partitioned():
                 return None
-            await self.wait_proof(min(left, CUT_LOOK))
+            await self.wait_proof(min(left, PARTITION_CHECK_INTERVAL))
 
     async def wait_proof(self, timeout):
-        """Ask for a proof now, and wait for it."""
+        """Request a proof now and wait for it, for at most `timeout` seconds."""
         proof = asyncio.get_running_loop().create_future()
-        self.proofs.append(proof)
-        self.wanted.set()
+        self.proof_waiters.append(proof)
+        self.proof_requested.set()
         try:
             async with asyncio.timeout(timeout):
                 await proof
         except TimeoutError:
             return
         finally:
-            if proof in self.proofs:
-                self.proofs.remove(proof)
+            if proof in self.proof_waiters:
+                self.proof_waiters.remove(proof)
 
     def proof_age(self):
         """Seconds since the leader was last proven; None if nobody leads."""
@@ -131,44 +141,45 @@
             return None
         return self.clock() - newest.asked_at
 
-    def lost_for(self):
-        """Seconds for which nobody has been proven to lead; 0 while somebody is."""
+    def leaderless_for(self):
+        """Seconds since a leader was last proven; 0 while one is proven."""
         if self.leader or self.leaderless_since is None:
             return 0.0
         return self.clock() - self.leaderless_since
 
-    def led_lately(self, upstream):
-        """Tell whether a member was the last to prove its lead, and not long ago."""
+    def led_recently(self, upstream):
+        """Return whether a member was the last proven leader, and recently."""
         newest = self.floors.newest
         known = newest is not None and upstream == self.last_leader
         return known and self.clock() - newest.asked_at < self.tuning.led_lately
 
-    def hidden(self):
-        """Tell whether a member that takes no further connection may be the leader.
+    def leader_may_be_at_limit(self):
+        """Return whether a member at its connection limit may be the leader.
 
-        What goes wrong without it: all daemons come back at once while an upstream
-        still counts their old connections; nobody can ask it, and it is replaced.
+        When all daemons restart at once, an upstream still counts their old connections
+        and refuses new ones. No daemon can ask it for a proof then, and without this
+        check it would be replaced.
         """
-        return self.clock() - self.full_at < self.tuning.suspect_after
+        return self.clock() - self.connection_limit_at < self.tuning.suspect_after
 
-    def doubt(self, upstream):
-        """A statement was refused or lost at an upstream: look at once."""
+    def recheck(self, upstream):
+        """Request a proof at once, after an upstream refused or lost a statement."""
         if upstream == self.leader:
-            self.wanted.set()
+            self.proof_requested.set()
 
     # The loop
 
     async def run(self):
-        """Prove the leader, or search for one, for ever."""
+        """Prove the leader, or search for one, until cancelled."""
         while True:
             try:
                 await self.step()
             except UpstreamError as exc:
                 self.log(PART, "proof failed", group=self.group.name, error=str(exc))
-            await self.pause()
+            await self.wait_until_due()
 
-    async def pause(self):
-        """Wait until the next proof is due or wanted."""
+    async def wait_until_due(self):
+        """Wait until the next proof is due or requested."""
         searching = not self.leader
         delay = self.tuning.search_every if searching else self.tuning.ping_every
         if searching:
@@ -176,61 +187,65 @@
             return
         try:
             async with asyncio.timeout(delay):
-                await self.wanted.wait()
+                await self.proof_requested.wait()
         except TimeoutError:
             return
 
     async def step(self):
-        """One proof, or one round of search."""
-        self.wanted.clear()
+        """Run one proof; search for a leader if there is none or it gives no proof."""
+        self.proof_requested.clear()
         if not self.group.upstreams:
-            # Without members there is nothing that could be missing a leader.
+            # A group without members is not missing a leader.
             self.leaderless_since = None
             return
         began = self.clock()
-        if self.leader and await self.try_target(self.leader):
+        if self.leader and await self.prove_target(self.leader):
             return
-        self.lose(began)
+        self.mark_lost(began)
         await self.search()
 
-    async def try_target(self, target):
-        """Ask for a proof, on a fresh connection if the one at hand is silent."""
+    async def prove_target(self, target):
+        """Ask for a proof; on a new connection if the pooled one gives no answer."""
         item = self.group.upstreams.get(target)
         if item is None:
             return False
         timeout = self.tuning.ping_timeout
-        at_hand = item.pool.acquire(values={}, timeout=timeout, urgent=True)
-        answer = await self.ask_leader(item, at_hand)
+        from_pool = item.pool.acquire(values={}, timeout=timeout, urgent=True)
+        answer = await self.ask_leader(item, from_pool)
         if answer is None:
             answer = await self.ask_leader(item, item.pool.open_new())
         return bool(answer)
 
-    async def ask_leader(self, item, getting):
-        """Ask on a connection that is being got; None if that gave no answer."""
+    async def ask_leader(self, item, acquiring):
+        """Ask for a proof: whether the member leads, None if it gave no answer.
+
+        `acquiring` is the awaitable that yields the connection.
+        """
         try:
-            result = await self.ask_member(item, getting)
+            result = await self.ask_member(item, acquiring)
         except UpstreamBusy:
-            return self.keep_busy(item.id)
+            return self.still_leads_when_busy(item.id)
         except UpstreamRefused as exc:
             if not exc.at_limit:
                 return None
-            self.full_at = self.clock()
+            self.connection_limit_at = self.clock()
             item.record_probe_answer(self.clock())
-            return self.keep_busy(item.id)
+            return self.still_leads_when_busy(item.id)
         except UpstreamError as exc:
-            self.note("no proof", item.id, error=str(exc))
+            self.log_event("no proof", item.id, error=str(exc))
             return None
         if result is None:
             return False
-        self.proven(*result)
+        self.record_proof(*result)
         return True
 
-    async def ask_member(self, item, getting):
+    async def ask_member(self, item, acquiring):
         """Ask one member: (id, position, time asked), or None if it does not lead.
 
-        Raises UpstreamError if it gave no answer.
+        `acquiring` is the awaitable that yields the connection. Raises UpstreamError if
+        the member gave no answer.
         """
-        pooled = await getting
+        pooled = await acquiring
         asked_at = self.clock()
         try:
             position = await prove_leads(pooled.conn, timeout=self.tuning.ping_timeout)
@@ -239,11 +254,11 @@
         item.record_probe_answer(self.clock())
         return None if position is None else (item.id, position, asked_at)
 
-    def keep_busy(self, target):
-        """Tell whether a leader whose queue is full is still taken for one.
+    def still_leads_when_busy(self, target):
+        """Return whether a member that is too busy for a proof still counts as leader.
 
-        What goes wrong without it: a burst fills the queue, the proof is turned
-        away, and a healthy primary is replaced at the worst moment.
+        A burst of load fills the leader's queue, so that the proof is refused. Without
+        this a healthy primary would be replaced under peak load.
         """
         if target != self.leader:
             return False
@@ -251,83 +266,84 @@
         since = newest.asked_at if newest else self.clock()
         return self.clock() - since < self.tuning.busy_limit
 
-    def proven(self, upstream, position, asked_at):
-        """An upstream has proven that it led after `asked_at`."""
+    def record_proof(self, upstream, position, asked_at):
+        """Record that an upstream has proven to lead at some time after `asked_at`."""
         if upstream != self.leader:
             if upstream != self.last_leader:
-                self.floors.forget()
-                self.group.stall.forget()
-            self.note("found", upstream, position=str(position))
+                self.floors.clear()
+                self.group.stall.reset()
+            self.log_event("found", upstream, position=str(position))
             self.leader = self.last_leader = upstream
-            self.found_at = self.clock()
+            self.leader_since = self.clock()
             self.leaderless_since = None
-            self.announce()
-        self.floors.learn(position, asked_at)
-        for proof in self.proofs:
+            self.notify_change()
+        self.floors.add(position, asked_at)
+        for proof in self.proof_waiters:
             if not proof.done():
                 proof.set_result(None)
-        self.proofs = []
+        self.proof_waiters = []
 
-    def lose(self, since):
-        """The leader, if there was one, is not proven since a time."""
+    def mark_lost(self, since):
+        """Record that no leader has been proven since a time."""
         if self.leaderless_since is None:
             self.leaderless_since = since
         if self.leader:
-            self.note("lost", self.leader)
+            self.log_event("lost", self.leader)
             self.leader = ""
-            self.announce()
+            self.notify_change()
 
-    def announce(self):
-        """Wake those who wait for a change."""
+    def notify_change(self):
+        """Wake all tasks that wait for a change of the leader."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def search(self):
-        """Ask all members at once who leads; the first proof ends the search.
+        """Ask all members concurrently for a proof; the first proof ends the search.
 
-        Members that still owe an answer are not asked again and not waited for: an
-        upstream that is silent would hide for its whole timeout that another leads.
+        Members with an unanswered probe are not probed again, and the search does not
+        wait for them: an unresponsive upstream would otherwise delay the discovery of
+        another leader by its whole timeout.
         """
         for item in self.group.upstreams.values():
-            if item.id not in self.asking:
-                self.ask_in_background(item)
+            if item.id not in self.pending_probes:
+                self.probe_in_background(item)
         until = self.clock() + self.tuning.search_every
-        while self.asking and not self.leader and self.clock() < until:
+        while self.pending_probes and not self.leader and self.clock() < until:
             await asyncio.wait(
-                list(self.asking.values()),
+                list(self.pending_probes.values()),
                 timeout=until - self.clock(),
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            # Let what is done be taken in before the next look.
+            # Let the callbacks of finished probes run before the next check.
             await asyncio.sleep(0)
 
-    def ask_in_background(self, item):
-        """Ask one member; a proof is taken in whenever it comes."""
-        task = asyncio.create_task(self.ask_quietly(item))
-        self.asking[item.id] = task
+    def probe_in_background(self, item):
+        """Probe one member; a proof is recorded whenever it arrives."""
+        task = asyncio.create_task(self.probe(item))
+        self.pending_probes[item.id] = task
 
         def answered(task):
-            self.asking.pop(item.id, None)
+            self.pending_probes.pop(item.id, None)
             if not task.cancelled() and task.exception() is None and task.result():
-                self.found(*task.result())
+                self.take_search_result(*task.result())
 
         task.add_done_callback(answered)
 
-    async def ask_quietly(self, item):
-        """Ask one member of which a search knows nothing; None for any failure."""
+    async def probe(self, item):
+        """Ask one member for a proof; None if it does not lead or on any failure."""
         timeout = self.tuning.ping_timeout
-        getting = item.pool.acquire(values={}, timeout=timeout, urgent=True)
+        acquiring = item.pool.acquire(values={}, timeout=timeout, urgent=True)
         try:
-            return await self.ask_member(item, getting)
+            return await self.ask_member(item, acquiring)
         except UpstreamError as exc:
             if isinstance(exc, UpstreamRefused) and exc.at_limit:
-                self.full_at = self.clock()
+                self.connection_limit_at = self.clock()
                 item.record_probe_answer(self.clock())
             return None
 
-    def found(self, upstream, position, asked_at):
-        """A search was answered by a member that leads."""
+    def take_search_result(self, upstream, position, asked_at):
+        """Record a proof found by a search, unless a newer one is known."""
         newest = self.floors.newest
         if self.leader and newest and newest.asked_at >= asked_at:
             return
-        self.proven(upstream, position, asked_at)
+        self.record_proof(upstream, position, asked_at)
--- a/packages/sessions/gypsum_sessions/takeover/reach.py
+++ b/packages/sessions/gypsum_sessions/takeover/peer_reachability.py
@@ -1,4 +1,4 @@
-"""Other owners that reach a group's primary while this daemon does not."""
+"""Finds other owners that reach a group's primary while this daemon does not."""
 
 import asyncio
 
@@ -11,44 +11,49 @@
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "reach"
-# An owner that lives answers within a few milliseconds.
-ANSWER_TIME = 0.3
+# A running owner answers within a few milliseconds. Seconds.
+ANSWER_TIMEOUT = 0.3
 
 
-class Reach:
-    """Who of a group's other owners vouches for its primary; asked only when needed."""
+class PeerReachability:
+    """Tracks which other owners of a group have recently proven its primary.
+
+    The owners are asked only while this daemon has no proven primary. `confirmed_at`
+    maps an owner's name to the time of its latest proof, on this daemon's clock.
+    """
 
     def __init__(self, *, group, peers):
         self.group = group
         self.context = group.context
         self.peers = peers
-        self.seen = {}
+        self.confirmed_at = {}
 
-    def helpers(self):
-        """Owners that have lately proven the primary; none while we do so ourselves."""
+    def confirming_daemons(self):
+        """Owners that recently proved the primary; none while this daemon proves it."""
         if self.group.watch.leader:
             return []
-        return confirming_daemons(self.seen, self.context.clock())
+        return confirming_daemons(self.confirmed_at, self.context.clock())
 
     async def run(self):
-        """Ask the other owners while we know of no primary, for ever."""
+        """Ask the other owners whenever no primary is proven here, until cancelled."""
         watch = self.group.watch
         while True:
             if watch.leader:
-                self.seen.clear()
+                self.confirmed_at.clear()
                 await watch.wait_change(ASK_INTERVAL)
                 continue
             if not watch.last_leader:
-                # The first search mostly ends sooner: when all daemons come back
-                # together each would dial all others before they can answer. Later on
-                # the answer is needed at once, before a takeover begins.
+                # After a start, wait first: the first search usually ends sooner, and
+                # when all daemons restart together each would dial all others before
+                # they can answer. Later the answer is needed at once, before a takeover
+                # begins.
                 await watch.wait_change(ASK_INTERVAL)
             if not watch.leader:
                 await self.ask_all()
             await watch.wait_change(ASK_INTERVAL)
 
     async def ask_all(self):
-        """Ask every other owner; those that are silent are not waited for."""
+        """Ask every other owner in the background, without waiting for the answers."""
         daemons = self.context.daemons
         names = [
             name
@@ -58,19 +63,19 @@
         self.group.track_tasks({asyncio.create_task(self.ask(name)) for name in names})
 
     async def ask(self, name):
-        """Ask one owner whom it has proven to lead, and when."""
+        """Ask one owner for the age of its latest proof of the primary."""
         asked_at = self.context.clock()
         try:
-            link = await self.peers.link(name, ANSWER_TIME)
+            link = await self.peers.link(name, ANSWER_TIMEOUT)
             answer = await link.ask(
                 lambda call: LeaderQuestion(call=call, group=self.group.name),
-                timeout=ANSWER_TIME,
+                timeout=ANSWER_TIMEOUT,
             )
         except PeerLost:
             return
         if confirms_primary(answer.proof_age):
-            if not self.helpers() and not self.group.watch.leader:
+            if not self.confirming_daemons() and not self.group.watch.leader:
                 self.context.log(
                     PART, "another daemon leads on", group=self.group.name, by=name
                 )
-            self.seen[name] = asked_at - answer.proof_age
+            self.confirmed_at[name] = asked_at - answer.proof_age
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -1,4 +1,4 @@
-"""Why a group's primary should be replaced now, and by this daemon. No I/O."""
+"""Decides whether this daemon should replace a group's primary now. No I/O."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Reason(StrEnum):
-    """Why a primary is replaced."""
+    """Reason for acting on a group; the value is logged."""
 
     NO_PRIMARY = "no primary"
     LEAVES = "the primary leaves"
@@ -17,61 +17,70 @@
 
 
 class Reasons:
-    """Looks at one group for a reason to act."""
+    """Checks one group for a reason to act."""
 
-    def __init__(self, *, group, board, recorder, reach):
-        self.reach = reach
+    def __init__(self, *, group, lease_view, recorder, peer_reachability):
+        self.peer_reachability = peer_reachability
         self.group = group
         self.context = group.context
-        self.board = board
+        self.lease_view = lease_view
         self.recorder = recorder
 
     def find(self):
         """The reason to act now, or None."""
         if not self.group.upstreams or not self.recorder.has_record(self.group.name):
-            # Without a record the list may have gaps, and nothing tells who is missing.
+            # Without a record of the members the list may be incomplete, and it is
+            # unknown which members are missing.
             return None
-        delay = self.place() * self.context.tuning.rank_delay
+        delay = self.rank() * self.context.tuning.rank_delay
         if not self.group.watch.leader:
-            return Reason.NO_PRIMARY if self.lost_for(delay) else None
-        if self.stalled_for(delay):
+            return Reason.NO_PRIMARY if self.primary_lost(delay) else None
+        if self.writes_stalled(delay):
             return Reason.STALLED
-        if self.left_unfinished(delay):
+        if self.takeover_unfinished(delay):
             return Reason.UNSETTLED
-        if self.primary_leaves(delay):
+        if self.primary_leaving(delay):
             return Reason.LEAVES
         return Reason.BEHIND if self.replicas_behind(delay) else None
 
-    def place(self):
-        """This daemon's place among the group's owners."""
+    def rank(self):
+        """This daemon's position in the order of the group's owners, from 0."""
         return self.context.daemons.place(self.group.spec)
 
-    def lost_for(self, delay):
-        """Tell whether nobody has led for long enough, and nobody may do so unseen."""
+    def primary_lost(self, delay):
+        """Return whether the group has been without a leader for long enough.
+
+        False if a member at its connection limit may be the leader, or another owner
+        has recently proven the primary.
+        """
         since = self.group.watch.leaderless_since
-        if since is None or self.group.watch.hidden() or self.reach.helpers():
+        if (
+            since is None
+            or self.group.watch.leader_may_be_at_limit()
+            or self.peer_reachability.confirming_daemons()
+        ):
             return False
         lost = self.context.clock() - since
         return lost >= self.context.tuning.suspect_after + delay
 
-    def stalled_for(self, delay):
-        """Tell whether writes wait at the primary and none is answered."""
-        lasting = self.group.stall.lasting(self.context.clock())
-        return lasting >= self.context.tuning.stall_after + delay
+    def writes_stalled(self, delay):
+        """Return whether writes are pending at the primary and none is answered."""
+        stalled_for = self.group.stall.stalled_for(self.context.clock())
+        return stalled_for >= self.context.tuning.stall_after + delay
 
-    def left_unfinished(self, delay):
-        """Tell whether somebody's takeover ended without a word, a while ago.
+    def takeover_unfinished(self, delay):
+        """Return whether a takeover was abandoned without settling its lease.
 
-        What goes wrong without a look: its replicas stay paused, and members that have
-        joined since can't confirm commits, for an order may still be carried out.
+        Until another daemon finishes it, its replicas stay paused, and members that
+        joined since cannot confirm commits because an order may still be carried out.
         """
         name = self.group.name
-        if not self.board.unsettled(name):
+        if not self.lease_view.unsettled(name):
             return False
-        return self.board.age(name) >= self.context.tuning.settled_after + delay
+        return self.lease_view.age(name) >= self.context.tuning.settled_after + delay
 
-    def primary_leaves(self, delay):
-        """Tell whether the primary leaves and another member could lead."""
+    def primary_leaving(self, delay):
+        """Return whether the primary is leaving and another member could lead."""
         member = self.group.member(self.group.watch.leader)
         if member is None or member.leaving_since is None:
             return False
@@ -79,7 +88,7 @@
         return late and bool(self.successors(member.id))
 
     def replicas_behind(self, delay):
-        """Tell whether reads all fall on a primary that can't take them."""
+        """Return whether all reads go to the primary and exceed its capacity."""
         now, group = self.context.clock(), self.group
         leader = group.upstreams.get(group.watch.leader)
         replicas = [
@@ -93,11 +102,13 @@
         return should_hand_over(
             lagging_for=behind_for - delay,
             backlogged_for=leader.admission.queue.backlogged_for(now),
-            since_takeover=min(self.board.age(group.name), now - group.watch.found_at),
+            since_takeover=min(
+                self.lease_view.age(group.name), now - group.watch.leader_since
+            ),
         )
 
     def successors(self, leader):
-        """Members that could lead and that stay."""
+        """Other members that could lead and are not leaving."""
         return [
             member.id
             for member in self.group.members()
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -1,4 +1,4 @@
-"""Commands to a group's members: status, pausing replication, stepping down."""
+"""Sends commands to a group's members: status, replication, stepping down."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,27 +13,28 @@
 )
 from gypsum_sessions.upstreams.borrow import borrow_connection
 
-# Unanswered or refused commands to a member are repeated this often per round.
-COMMAND_TRIES = 2
+# How often a command is sent to a member per round until it succeeds.
+COMMAND_ATTEMPTS = 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Paused:
-    """A member whose replication is paused, and its status then.
+class PausedReplica:
+    """A member whose replication is paused, with its status at that time.
 
-    `held_before` says that it was paused already, so that its log has not grown.
+    With `already_paused` it was paused before this round, so its log has not grown.
     """
 
     upstream: str
     leaving: bool
-    held_before: bool = False
+    already_paused: bool = False
     status: UpstreamStatus
 
 
 class ReplicationControl:
-    """Gives one group's members commands and remembers whom it has paused.
+    """Sends commands to one group's members and tracks which ones it has paused.
 
-    `paused` maps upstreams to the term they were paused for.
+    `paused` maps upstream ids to the term for which they were paused. `unresponsive`
+    holds the ids that were last logged as not answering.
     """
 
     def __init__(self, *, group, log):
@@ -41,23 +42,25 @@
         self.context = group.context
         self.log = log
         self.paused = {}
-        self.missing = []
+        self.unresponsive = []
 
-    async def pause_all(self, old, *, step_down, sure=True):
+    async def pause_all(self, old_primary, *, step_down, led_recently=True):
         """Pause all replicas; their statuses, or None if one did not answer.
 
-        `old` is the primary that is replaced and need not answer; unless we are `sure`
-        that it led a moment ago, it is paused like the others if it turns out to be a
+        `old_primary` is being replaced and need not answer. Unless it `led_recently`,
+        it is asked first, and is paused like the others if it turns out to be a
         replica.
         """
-        others = [item for item in self.group.upstreams.values() if item.id != old]
-        if not sure and await self.follows(old):
+        others = [
+            item for item in self.group.upstreams.values() if item.id != old_primary
+        ]
+        if not led_recently and await self.is_replica(old_primary):
             others = list(self.group.upstreams.values())
         if not others:
             return None
         statuses = await asyncio.gather(*(self.status_of(item) for item in others))
         if any(status is None for status in statuses):
-            self.note_missing(
+            self.log_unresponsive(
                 [
                     item.id
                     for item, status in zip(others, statuses, strict=True)
@@ -66,13 +69,13 @@
             )
             return None
         if any(status.leads for status in statuses):
-            # Nothing to pause: there is a primary, the watch has yet to find it.
+            # There is a primary already; the LeaderWatch has not found it yet.
             self.log("another member leads", statuses=str(statuses))
             return None
         term = max(status.term for status in statuses) + 1
-        if step_down and old in self.group.upstreams:
+        if step_down and old_primary in self.group.upstreams:
             await self.command(
-                self.group.upstreams[old],
+                self.group.upstreams[old_primary],
                 Statement(kind=StatementKind.STEP_DOWN, term=term),
             )
             await asyncio.sleep(self.context.tuning.handover_pause)
@@ -80,46 +83,52 @@
         if paused is None:
             return None
         return [
-            Paused(
+            PausedReplica(
                 upstream=item.id,
                 leaving=not item.member.active,
-                held_before=before.held_term > 0,
+                already_paused=before.held_term > 0,
                 status=paused[item.id],
             )
             for item, before in zip(others, statuses, strict=True)
         ]
 
-    async def spare_heir(self, old, heir=""):
-        """Pause all replicas but the one that leads next: (its id, all), or None.
+    async def prepare_handover(self, old_primary, pending=""):
+        """Pause all replicas except the handover target.
 
-        The primary goes on: what it acknowledges from now on the heir has received, for
-        nobody else receives; and the heir has what the others had when they stopped. So
-        nothing that is acknowledged is missing when it leads. `heir` is the one of an
-        order that may still be carried out.
+        Returns the target's id and the statuses of the paused members by id, or None if
+        no handover is possible. The primary keeps serving. From now on it can
+        acknowledge only commits that the target has received, since no other member
+        receives any, and the target has caught up with the logs of the paused members.
+        So the target has every acknowledged commit when it is promoted. `pending` is
+        the member of an order that may still be carried out; it stays the target.
         """
-        others = [item for item in self.group.upstreams.values() if item.id != old]
+        others = [
+            item for item in self.group.upstreams.values() if item.id != old_primary
+        ]
         statuses = await asyncio.gather(*(self.status_of(item) for item in others))
         known = [status for status in statuses if status is not None]
         if len(known) < len(others) or any(status.leads for status in known):
-            self.log("no heir, not all replicas answer", statuses=str(statuses))
+            self.log("no handover: not all replicas answer", statuses=str(statuses))
             return None
         found = [
-            Paused(upstream=item.id, leaving=not item.member.active, status=status)
+            PausedReplica(
+                upstream=item.id, leaving=not item.member.active, status=status
+            )
             for item, status in zip(others, known, strict=True)
         ]
-        chosen = heir or choose_handover_target(found)
+        chosen = pending or choose_handover_target(found)
         if chosen not in {item.id for item in others}:
-            self.log("no heir that stays")
+            self.log("no handover: no suitable replica")
             return None
         held = [item for item in others if item.id != chosen]
         term = max(status.term for status in known) + 1
         paused = await self.pause(held, term)
-        if paused is None or not await self.has_all(chosen, paused):
+        if paused is None or not await self.wait_caught_up(chosen, paused):
             return None
         return chosen, paused
 
     async def pause(self, items, term):
-        """Pause some members; their statuses by id, None unless all are paused."""
+        """Pause members; their statuses by id, or None if any is not paused."""
         command = Statement(kind=StatementKind.PAUSE_REPLICATION, term=term)
         answers = await asyncio.gather(*(self.command(item, command) for item in items))
         for item in items:
@@ -129,28 +138,31 @@
             return None
         return {item.id: status for item, status in zip(items, answers, strict=True)}
 
-    async def has_all(self, heir, paused):
-        """Wait until the heir has received what the paused members have."""
+    async def wait_caught_up(self, target, paused):
+        """Wait until the handover target has received what the paused members have.
+
+        False if it does not answer, receives nothing or takes longer than allowed.
+        """
         longest = max((status.received for status in paused.values()), default=None)
         until = self.context.clock() + self.context.tuning.heir_wait
         while self.context.clock() < until:
-            item = self.group.upstreams.get(heir)
+            item = self.group.upstreams.get(target)
             status = await self.status_of(item) if item is not None else None
             if status is None or status.held_term or status.leads:
                 return False
             if longest is None or status.received >= longest:
                 return True
             await asyncio.sleep(self.context.tuning.confirm_pause)
-        self.log("the heir lacks what others have", heir=heir, longest=str(longest))
+        self.log("the heir lacks what others have", heir=target, longest=str(longest))
         return False
 
-    async def follows(self, old):
-        """Tell whether a former primary answers and says that it is a replica.
+    async def is_replica(self, old_primary):
+        """Return whether a former primary answers that it is a replica now.
 
-        What goes wrong without the question: it has come back as a replica of a primary
-        that we never saw, and holds the only copy of a commit.
+        It may have come back as a replica of a primary that this daemon never saw, and
+        hold the only copy of a commit.
         """
-        item = self.group.upstreams.get(old)
+        item = self.group.upstreams.get(old_primary)
         if item is None:
             return False
         try:
@@ -160,19 +172,19 @@
             return False
         return status is not None and not status.leads
 
-    def note_missing(self, silent):
-        """Say whom an attempt waits for, when that changes."""
-        if silent != self.missing:
+    def log_unresponsive(self, silent):
+        """Log which members an attempt waits for, whenever they change."""
+        if silent != self.unresponsive:
             self.log("waiting for members", silent=silent)
-        self.missing = silent
+        self.unresponsive = silent
 
     async def status_of(self, item):
-        """A member's status, or None."""
+        """A member's status, or None if it did not answer."""
         return await self.command(item, STATUS)
 
     async def command(self, item, statement):
-        """Give a member a command; its status then, or None if it did not answer."""
-        for _ in range(COMMAND_TRIES):
+        """Send a command to a member; its status afterwards, or None on failure."""
+        for _ in range(COMMAND_ATTEMPTS):
             try:
                 return await self.command_once(item, statement)
             except UpstreamError as exc:
@@ -185,7 +197,10 @@
         return None
 
     async def command_once(self, item, statement):
-        """One try of a command; raises UpstreamError."""
+        """Send a command once; its status afterwards.
+
+        Raises UpstreamError without an answer, UpstreamBusy if the member refuses.
+        """
         async with borrow_connection(self.context, item, urgent=True) as conn:
             reply = await conn.ask(
                 statement, timeout=self.context.tuning.command_timeout
@@ -197,7 +212,7 @@
         )
 
     async def resume_all(self):
-        """Let all that were paused go on; those that do not answer stay noted."""
+        """Resume replication on all paused members; retain those that do not answer."""
         for upstream in list(self.paused):
             item = self.group.upstreams.get(upstream)
             if item is None or await self.command(item, RESUME_REPLICATION):
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -12,8 +12,8 @@
 from gypsum_sessions.execution.jobs import ServedBy
 from gypsum_sessions.takeover.floors import Floors
 from gypsum_sessions.takeover.leader import LeaderWatch
-from gypsum_sessions.takeover.leaseboard import LeaseBoard
-from gypsum_sessions.takeover.stall import WriteStall
+from gypsum_sessions.takeover.lease_view import LeaseView
+from gypsum_sessions.takeover.stall import WriteStallDetector
 from gypsum_sessions.tuning import SessionTuning
 from gypsum_sessions.upstreams.pool import ConnPool
 from gypsum_sessions.upstreams.upstream import Upstream
@@ -35,7 +35,7 @@
     log: EventLog
     domain: str
     daemons: Daemons
-    lease_view: LeaseBoard
+    lease_view: LeaseView
     drain_seconds: float
     started_at: float
     catalog: Catalog
@@ -50,8 +50,8 @@
         self.upstreams = {}
         self.departed_at = {}
         self.tasks = set()
-        self.stall = WriteStall()
-        self.floors = Floors(keep=context.tuning.floor_keep)
+        self.stall = WriteStallDetector()
+        self.floors = Floors(retention=context.tuning.floor_keep)
         self.watch = LeaderWatch(
             group=self,
             floors=self.floors,
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -4,7 +4,7 @@
 from gypsum_sessions.callers.access import LocalAccess
 from gypsum_sessions.daemons.remote import RemoteAccess
 from gypsum_sessions.takeover.attempt import Takeover
-from gypsum_sessions.takeover.reach import Reach
+from gypsum_sessions.takeover.peer_reachability import PeerReachability
 from gypsum_sessions.upstreams.group import Group
 
 PART = "hosting"
@@ -69,18 +69,18 @@
             return group
         group = Group(spec=spec, context=self.proxy.context)
         self.groups[spec.name] = group
-        reach = self.peer_reachability[spec.name] = Reach(
+        reach = self.peer_reachability[spec.name] = PeerReachability(
             group=group, peers=self.proxy.peers
         )
         self.takeovers[spec.name] = Takeover(
             group=group,
             daemon=self.proxy.name,
             leases=self.proxy.leases,
-            board=self.proxy.board,
+            lease_view=self.proxy.board,
             promoter=self.proxy.promoter,
             relist=self.proxy.relist,
             recorder=self.proxy.recorder,
-            reach=reach,
+            peer_reachability=reach,
         )
         self.proxy.refresh_members(spec.name)
         self.tasks[spec.name] = [
--- a/tests/sessions/test_confirm.py
+++ b/tests/sessions/test_confirm.py
@@ -105,7 +105,7 @@
 
     async def main():
         rig = await make_settled_rig()
-        rig.group["u3"].dark = True
+        rig.group["u3"].unresponsive = True
         rig.group["u2"].work = 2.0
         readers = [rig.caller("bounded") for _ in range(2)]
         await asyncio.gather(*(reader.send("READ a") for reader in readers))
@@ -185,7 +185,7 @@
 
     async def main():
         rig = await make_settled_rig()
-        rig.group["u2"].deaf = True
+        rig.group["u2"].not_receiving = True
         rig.proxy.take_members(
             [
                 replace(member, leaving=True) if member.id == "u3" else member
@@ -261,13 +261,13 @@
     async def main():
         rig = await make_settled_rig()
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
-        rig.proxy.board.note("db", lease)
+        rig.proxy.board.record("db", lease)
         for name in ("u2", "u3"):
             rig.group[name].crash()
             rig.group[name].restart()
         caller = rig.caller("own")
         assert (await caller.send("WRITE a 1")).refusal is Refusal.IN_DOUBT
-        rig.proxy.board.note("db", replace(lease, settled=True))
+        rig.proxy.board.record("db", replace(lease, settled=True))
         assert (await caller.send("WRITE a 2")).ok
 
     run(main())
@@ -280,7 +280,7 @@
         rig = await make_settled_rig()
         assert (await rig.caller("own").send("WRITE a 1")).ok
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
-        rig.proxy.board.note("db", lease)
+        rig.proxy.board.record("db", lease)
         assert (await rig.caller("own").send("WRITE a 2")).ok
 
     run(main())
--- a/tests/sessions/test_freshness.py
+++ b/tests/sessions/test_freshness.py
@@ -10,9 +10,9 @@
 
 
 def test_the_oldest_allowed_floor_is_taken():
-    floors = Floors(keep=10.0)
+    floors = Floors(retention=10.0)
     for at in range(5):
-        floors.learn(Position(term=1, index=at), float(at))
+        floors.add(Position(term=1, index=at), float(at))
     assert floors.since(2.0).position == Position(term=1, index=2)
     assert floors.since(4.5) is None
 
@@ -29,9 +29,7 @@
         rig = Rig()
         await rig.settle()
         watch = rig.proxy.groups["db"].watch
-        rig.proxy.groups["db"].floors.learn(
-            Position(term=1, index=99), rig.loop.clock()
-        )
+        rig.proxy.groups["db"].floors.add(Position(term=1, index=99), rig.loop.clock())
         rig.group.promote("u2")
         await asyncio.sleep(1.0)
         assert watch.leader == "u2"
@@ -91,7 +89,7 @@
                 conn.silent = True
         rig.group["u1"].cut_from.update({"u2", "u3"})
         rig.group.promote("u2")
-        rig.group["u1"].deaf = True
+        rig.group["u1"].not_receiving = True
         await asyncio.sleep(0.5)
         assert (await rig.caller("own", fresh).send("WRITE a new")).ok
         reply = await rig.caller("primary", old).send("READ a")
@@ -112,7 +110,7 @@
         rig = Rig()
         await rig.settle()
         for replica in rig.group.replicas():
-            replica.deaf = True
+            replica.not_receiving = True
         rig.group.sync = 0
         group = rig.proxy.groups["db"]
         group.spec = replace(group.spec, sync_replicas=0)
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -111,7 +111,7 @@
         rig = Rig()
         await rig.settle()
         lease = await rig.leases.take("db", "other", rig.leases.lease)
-        rig.proxy.board.note("db", lease)
+        rig.proxy.board.record("db", lease)
         rig.group["u2"].restart_empty()
         update_lists(rig)
         known = known_replicas(rig.proxy.groups["db"], "u1")
@@ -133,7 +133,7 @@
         outcomes = []
         await write_for(rig, rig.proxy, 1.0, outcomes)
         rig.group["u2"].restart_empty()
-        rig.group["u2"].deaf = True
+        rig.group["u2"].not_receiving = True
         update_lists(rig)
         rig.group["u1"].crash()
         await asyncio.sleep(4.0)
@@ -176,7 +176,7 @@
         takeover = rig.proxy.takeovers["db"]
         rig.group["u2"].restart_empty()
         update_lists(rig)
-        await takeover.order("u2")
+        await takeover.order_promotion("u2")
         assert rig.promoter.orders == []
 
     run(main())
@@ -195,15 +195,15 @@
         await rig.settle()
         outcomes = []
         await write_for(rig, rig.proxy, 1.0, outcomes)
-        rig.group["u1"].dark = True
-        control = rig.proxy.takeovers["db"].control
+        rig.group["u1"].unresponsive = True
+        control = rig.proxy.takeovers["db"].replication
         paused = await control.pause_all("u1", step_down=False)
         assert {item.upstream for item in paused} == {"u2", "u3"}
         rig.group["u3"].restart_empty()
-        rig.group["u3"].deaf = True
+        rig.group["u3"].not_receiving = True
         update_lists(rig)
         again = await control.pause_all("u1", step_down=False)
-        held = {item.upstream: item.held_before for item in again}
+        held = {item.upstream: item.already_paused for item in again}
         assert held == {"u2": True, "u3@2": False}
         assert choose_promotion_target(again, "u3") == "u2"
 
@@ -224,7 +224,7 @@
         outcomes = []
         await write_for(rig, rig.proxy, 0.5, outcomes)
         rig.group["u2"].restart_empty()
-        rig.group["u2"].deaf = rig.group["u3"].deaf = True
+        rig.group["u2"].not_receiving = rig.group["u3"].not_receiving = True
         rig.group.sync = 0
         reply = await rig.caller().send("WRITE late 1")
         assert reply.refusal is Refusal.IN_DOUBT
--- a/tests/sessions/test_recorder.py
+++ b/tests/sessions/test_recorder.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from gypsum_sessions.replies import Refusal
-from gypsum_sessions.takeover.attempt import LOOK_EVERY as TAKEOVER_LOOK
+from gypsum_sessions.takeover.attempt import CHECK_INTERVAL as TAKEOVER_CHECK_INTERVAL
 from gypsum_sessions.upstreams.recorder import (
     CHECK_INTERVAL,
     FIRST_RECORD_AFTER_CHECKS,
@@ -57,7 +57,7 @@
     async def main():
         rig = Rig(daemons=3)
         rig.group.add(1)
-        first = min(rig.proxies, key=lambda proxy: proxy.takeovers["db"].place())
+        first = min(rig.proxies, key=lambda proxy: proxy.takeovers["db"].rank())
         for proxy in rig.proxies:
             proxy.take_members(rig.group.listing())
             if proxy is not first:
@@ -125,14 +125,14 @@
     async def main():
         rig = Rig()
         await rig.settle()
-        rig.group["u3"].deaf = True
+        rig.group["u3"].not_receiving = True
         assert (await rig.caller("own").send("WRITE a 1")).ok
         rig.proxy.stop()
-        rig.group["u1"].dark = rig.group["u2"].dark = True
+        rig.group["u1"].unresponsive = rig.group["u2"].unresponsive = True
         late = start_with_partial_list(rig, {"u3"})
         await asyncio.sleep(1.9)
         assert rig.group.promotions == []
-        rig.group["u1"].dark = rig.group["u2"].dark = False
+        rig.group["u1"].unresponsive = rig.group["u2"].unresponsive = False
         rig.group.unlisted.clear()
         late.take_members(rig.group.listing())
         await asyncio.sleep(4.0)
@@ -181,11 +181,11 @@
         rig = Rig()
         await rig.settle()
         rig.proxy.recorder.recorded.clear()
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(3.0)
         assert rig.leases.calls == 0
         rig.proxy.recall("db", rig.group.listing())
-        await asyncio.sleep(TAKEOVER_LOOK + 2.0)
+        await asyncio.sleep(TAKEOVER_CHECK_INTERVAL + 2.0)
         assert len(rig.group.promotions) == 1
 
     run(main())
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -1,4 +1,4 @@
-"""Takeovers end in words: leases settled, late orders refused, pauses lifted."""
+"""The end of takeovers: leases settled, late orders refused, replicas resumed."""
 
 import asyncio
 from dataclasses import replace
@@ -10,41 +10,42 @@
 
 
 def test_replicas_paused_by_a_late_order_are_resumed():
-    """Symptom: writes stand still for ever though all members are well.
+    """Guards against writes stalling forever although all members are healthy.
 
-    Sequence: an order to pause got no answer, its sender went on without it, and it
-    is carried out seconds later. Cause: nobody looked for paused replicas.
+    A command to pause replication gets no answer, its sender continues without it, and
+    it is carried out seconds later. Some daemon has to look for paused replicas.
     """
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writer = asyncio.create_task(write_for(rig, rig.proxy, 8.0, told))
+        results = []
+        writer = asyncio.create_task(write_for(rig, rig.proxy, 8.0, results))
         await asyncio.sleep(1.0)
         for replica in rig.group.replicas():
             replica.paused = 2
         await writer
-        assert told[-1][1] is None
-        check_nothing_lost(rig, told)
+        assert results[-1][1] is None
+        check_nothing_lost(rig, results)
 
     run(main())
 
 
-def test_replicas_that_a_rival_has_paused_are_not_resumed():
-    """Symptom: acknowledged commits are missing after a promotion.
+def test_replicas_that_another_daemon_has_paused_are_not_resumed():
+    """Guards against losing acknowledged commits with a promotion.
 
-    Sequence: a primary is cut from its replicas; one daemon pauses them and orders a
-    promotion; another, which still hears the primary, sees writes stand still, finds
-    the replicas paused and resumes them; the cut heals, commits are acknowledged, the
-    promotion takes effect. Cause: the pause was taken for a forgotten one.
+    A primary is cut off from its replicas. One daemon pauses them and orders a
+    promotion. Another daemon, which still reaches the primary, sees writes stall and
+    finds the replicas paused. If it took the pause for an abandoned one and resumed
+    them, the primary could acknowledge commits once its connections are restored, and
+    the promotion would discard them.
     """
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writers = start_writers(rig, 8.0, told)
+        results = []
+        writers = start_writers(rig, 8.0, results)
         await asyncio.sleep(1.0)
         rig.group["u1"].cut_from.update({"u2", "u3"})
         rig.promoter.late = [2.0]
@@ -52,43 +53,43 @@
         rig.group["u1"].cut_from.clear()
         await asyncio.gather(*writers)
         assert all(lost == [] for _, lost in rig.group.promotions)
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
 
     run(main())
 
 
 def test_a_late_order_is_refused_once_the_primary_was_confirmed():
-    """Symptom: a healthy primary is deposed and commits are lost.
+    """Guards against deposing a healthy primary and losing commits.
 
-    Sequence: a promotion is ordered and not answered, the primary comes back, the
-    replicas are resumed, the order is carried out five seconds later. Cause: nothing
-    had raised the fence above the order's token.
+    A promotion order gets no answer, the primary returns and the replicas are resumed,
+    then the order is carried out five seconds later. Confirming the primary must raise
+    the fencing token above that of the order.
     """
 
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
         rig.promoter.late = [6.0]
-        told = []
-        writer = asyncio.create_task(write_for(rig, rig.proxy, 12.0, told))
+        results = []
+        writer = asyncio.create_task(write_for(rig, rig.proxy, 12.0, results))
         await asyncio.sleep(0.5)
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(1.5)
-        rig.group["u1"].dark = False
+        rig.group["u1"].unresponsive = False
         await writer
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
         assert all(lost == [] for _, lost in rig.group.promotions)
-        assert told[-1][1] is None
+        assert results[-1][1] is None
 
     run(main())
 
 
-def test_a_lease_found_at_the_start_does_not_hold_commits_back_for_long():
-    """Symptom: after a restart of all daemons commits are in doubt for seconds.
+def test_a_lease_found_at_the_start_delays_commits_only_briefly():
+    """Guards against commits in doubt for seconds after a restart of all daemons.
 
-    Sequence: a takeover took place an hour ago, or ended without a word, a daemon
-    starts and reads the lease. Cause: a lease that is new to the daemon looked like a
-    takeover under way.
+    A takeover was settled an hour ago, or was abandoned, and a daemon that starts reads
+    its lease. A lease that is new to the daemon must not look like one that was taken
+    just now.
     """
 
     async def main():
@@ -96,11 +97,11 @@
         await rig.settle()
         group = rig.proxy.groups["db"]
         left = PromotionLease(holder="dead", token=3, revision=2)
-        rig.proxy.board.note_first("db", replace(left, settled=True))
+        rig.proxy.board.record_initial("db", replace(left, settled=True))
         assert not group.takeover_in_progress()
         assert (await rig.caller("own").send("WRITE a 1")).ok
         rig.leases.lease = left
-        rig.proxy.board.note_first("db", left)
+        rig.proxy.board.record_initial("db", left)
         assert group.takeover_in_progress()
         await asyncio.sleep(1.1)
         assert not group.takeover_in_progress()
@@ -116,7 +117,7 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(4.0)
         assert len(rig.group.promotions) == 1
         assert rig.leases.lease.settled
@@ -124,25 +125,25 @@
     run(main())
 
 
-def test_a_takeover_with_an_order_on_its_way_is_not_settled_by_its_end():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+def test_a_takeover_with_an_unanswered_order_is_not_settled_when_it_ends():
+    """Guards against losing an acknowledged commit with a promotion.
 
-    Sequence: an order gets no answer, the primary is back, the takeover gives up, and
-    the order is carried out seconds later. Cause: its end was taken for the end of all
-    that it had set going.
+    An order gets no answer, the primary returns, the attempt is abandoned, and the
+    order is carried out seconds later. The end of the attempt must not settle the lease
+    while one of its orders can still take effect.
     """
 
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
         rig.promoter.late = [6.0, 6.0, 6.0, 6.0]
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         while not rig.promoter.orders:
             await asyncio.sleep(0.05)
-        rig.group["u1"].dark = False
+        rig.group["u1"].unresponsive = False
         takeover = rig.proxy.takeovers["db"]
         await asyncio.sleep(2.0)
-        assert takeover.unanswered
+        assert takeover.unanswered_orders
         assert not rig.leases.lease.settled
         await asyncio.sleep(20.0)
         assert rig.leases.lease.settled
@@ -152,10 +153,10 @@
 
 
 def test_an_unfinished_takeover_is_finished_by_another_daemon():
-    """Symptom: reads are slow for minutes, and new replicas confirm no commit.
+    """Guards against minutes of slow reads and new replicas that confirm no commit.
 
-    Sequence: a daemon pauses the replicas, takes the lease and dies; the primary had
-    only been out of reach for it. Cause: nobody else looked after what it left.
+    A daemon that cannot reach a healthy primary takes the lease, pauses the replicas
+    and dies. Another daemon has to finish its takeover.
     """
 
     async def main():
@@ -173,14 +174,14 @@
     run(main())
 
 
-def test_only_an_accepted_order_ends_those_before_it():
+def test_only_an_accepted_order_invalidates_earlier_ones():
     async def main():
         takeover = Rig().proxy.takeovers["db"]
-        takeover.note_outcome("u2", PromoteOutcome.UNANSWERED)
-        takeover.note_outcome("u3", PromoteOutcome.REFUSED)
-        takeover.note_outcome("u3", PromoteOutcome.NOT_DONE)
-        assert takeover.unanswered == {"u2"}
-        takeover.note_outcome("u3", PromoteOutcome.ACCEPTED)
-        assert takeover.unanswered == set()
+        takeover.record_outcome("u2", PromoteOutcome.UNANSWERED)
+        takeover.record_outcome("u3", PromoteOutcome.REFUSED)
+        takeover.record_outcome("u3", PromoteOutcome.NOT_DONE)
+        assert takeover.unanswered_orders == {"u2"}
+        takeover.record_outcome("u3", PromoteOutcome.ACCEPTED)
+        assert takeover.unanswered_orders == set()
 
     run(main())
