--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from gypsum_policy.leaving import DrainPlan, share_to_close, takes_new
-from gypsum_sessions.borders import Clock
 from gypsum_sessions.daemons.standins import StandIns
+from gypsum_sessions.interfaces import Clock
 from gypsum_sessions.replies import SessionState
 
 PART = "drain"
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -4,7 +4,6 @@
 
 from gypsum_policy.membership import missing_for
 from gypsum_policy.relays import FEW_DAEMONS
-from gypsum_sessions.borders import LeaseError
 from gypsum_sessions.callers.requestlog import RequestLog
 from gypsum_sessions.callers.session import Session
 from gypsum_sessions.catalog import Catalog
@@ -15,6 +14,7 @@
 from gypsum_sessions.daemons.relay import Relay
 from gypsum_sessions.daemons.usage import Usage
 from gypsum_sessions.daemons.warmlinks import WarmLinks
+from gypsum_sessions.interfaces import LeaseError
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
 from gypsum_sessions.takeover.leaseboard import LeaseBoard
 from gypsum_sessions.upstreams.group import Surroundings
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -12,7 +12,7 @@
 import asyncio
 
 from gypsum_policy.succession import choose_successor
-from gypsum_sessions.borders import LeaseError, PromoteOutcome
+from gypsum_sessions.interfaces import LeaseError, PromoteOutcome
 from gypsum_sessions.replies import UpstreamError
 from gypsum_sessions.takeover.leader import prove_leads
 from gypsum_sessions.takeover.reasons import Reason, Reasons
--- a/packages/sessions/gypsum_sessions/takeover/leaseboard.py
+++ b/packages/sessions/gypsum_sessions/takeover/leaseboard.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, replace
 
-from gypsum_sessions.borders import PromotionLease
+from gypsum_sessions.interfaces import PromotionLease
 
 # A takeover that began before this process may be under way this long, seconds.
 START_REST = 1.0
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -5,11 +5,11 @@
 from gypsum_policy.admission import work_limit
 from gypsum_policy.ownership import share_after_start
 from gypsum_policy.routing import Candidate
-from gypsum_sessions.borders import Clock, Dialer, EventLog
 from gypsum_sessions.catalog import Catalog
 from gypsum_sessions.daemons.registry import Daemons
 from gypsum_sessions.execution.jobs import ServedBy
 from gypsum_sessions.execution.turns import Turns
+from gypsum_sessions.interfaces import Clock, Dialer, EventLog
 from gypsum_sessions.takeover.floors import Floors
 from gypsum_sessions.takeover.leader import LeaderWatch
 from gypsum_sessions.takeover.leaseboard import LeaseBoard
--- a/packages/sessions/gypsum_sessions/upstreams/pooled.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pooled.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from gypsum_sessions.borders import UpstreamConn
+from gypsum_sessions.interfaces import UpstreamConn
 from gypsum_sessions.replies import SessionState, UpstreamLost
 from gypsum_sessions.statements import RESET, ROLLBACK, Statement, StatementKind
 
--- a/packages/sessions/gypsum_sessions/upstreams/recorder.py
+++ b/packages/sessions/gypsum_sessions/upstreams/recorder.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from gypsum_sessions.borders import LeaseError
+from gypsum_sessions.interfaces import LeaseError
 
 PART = "recorder"
 # Seconds between two looks at a group's members. Looks are counted instead of time: a
--- a/tests/platform/test_returned_store.py
+++ b/tests/platform/test_returned_store.py
@@ -8,7 +8,7 @@
 from gypsum_platform.leases import StoreLeases
 from gypsum_platform.store import Conflict, HistoryGone, Store, StoreError
 from gypsum_policy.revisions import era_of, in_era, number_of
-from gypsum_sessions.borders import LeaseError
+from gypsum_sessions.interfaces import LeaseError
 from tests.standins.objectstore import ObjectStore
 
 KIND = "kind"
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -5,7 +5,6 @@
 
 from gypsum_platform.codec import read_statement
 from gypsum_policy.relays import FEW_DAEMONS
-from gypsum_sessions.borders import LeaseError, PromoteOutcome, PromotionLease
 from gypsum_sessions.callers.keys import digest_of
 from gypsum_sessions.catalog import (
     CatalogVersion,
@@ -15,6 +14,7 @@
     Workspace,
 )
 from gypsum_sessions.daemons.registry import DaemonEntry
+from gypsum_sessions.interfaces import LeaseError, PromoteOutcome, PromotionLease
 from gypsum_sessions.proxy import Proxy
 from gypsum_sessions.tuning import DEFAULT_SESSION_TUNING
 from tests.sessions.fakegroup import PROMOTE_TIME, FakeDialer, FakeGroup
--- a/tests/sessions/test_confirm.py
+++ b/tests/sessions/test_confirm.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from gypsum_sessions.borders import PromotionLease
+from gypsum_sessions.interfaces import PromotionLease
 from gypsum_sessions.replies import Refusal
 from tests.sessions.fakegroup import FakeMember
 from tests.sessions.rig import Rig
--- a/tests/sessions/test_leaseboard.py
+++ b/tests/sessions/test_leaseboard.py
@@ -1,6 +1,6 @@
 """Which members each takeover has on its list, by the store's order."""
 
-from gypsum_sessions.borders import PromotionLease
+from gypsum_sessions.interfaces import PromotionLease
 from gypsum_sessions.takeover.leaseboard import START_REST, LeaseBoard
 
 REST = 4.0
--- a/tests/sessions/test_lost_lease.py
+++ b/tests/sessions/test_lost_lease.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsum_sessions.borders import PromotionLease
+from gypsum_sessions.interfaces import PromotionLease
 from gypsum_sessions.takeover.reasons import Reason
 from tests.sessions.rig import Rig
 from tests.sessions.test_leaseboard import lease, make_board
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from gypsum_sessions.borders import PromoteOutcome, PromotionLease
+from gypsum_sessions.interfaces import PromoteOutcome, PromotionLease
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 from tests.sessions.writers import check_nothing_lost, start_writers, write_for
