--- a/tests/sessions/test_measures.py
+++ b/tests/sessions/test_metrics.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gypsum_policy.usage import Cap
-from gypsum_sessions.measures import MOST_WORKSPACES, OTHERS, SessionMetrics
+from gypsum_sessions.metrics import MOST_WORKSPACES, OTHERS, SessionMetrics
 from gypsum_sessions.replies import Reply
 from tests.sessions.rig import Rig, catalog
 from tests.sessions.vclock import run
