--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -231,9 +231,9 @@
         (admission.WorkQueue, "rank", all_alike)
     ),
     "known lag of replicas": lambda: without(*tuned(lag_weight=0.0)),
-    "slow reads asked elsewhere": lambda: without(*tuned(hedge_floor=NEVER)),
-    "modest start": lambda: without(*tuned(modest_for=0.0)),
-    "closing of idle connections": lambda: without(*tuned(idle_limit=NEVER)),
+    "slow reads asked elsewhere": lambda: without(*tuned(hedge_min_delay=NEVER)),
+    "modest start": lambda: without(*tuned(startup_limit_duration=0.0)),
+    "closing of idle connections": lambda: without(*tuned(idle_timeout=NEVER)),
     "trial of connections before writes": lambda: without(
         (writes, "take_live", untried)
     ),
--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -151,7 +151,7 @@
         """
         running = {task for task in self.leftovers if not task.done()}
         if running:
-            patience = self.proxy.tuning.leftover_wait
+            patience = self.proxy.tuning.pending_read_wait
             _, running = await asyncio.wait(running, timeout=patience)
         self.leftovers = running
         return not running
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -40,9 +40,9 @@
         evidence = await find_evidence(group, position, leader)
         if evidence is Evidence.HELD:
             return True
-        if around.clock() + around.tuning.confirm_again >= until:
+        if around.clock() + around.tuning.confirm_retry_interval >= until:
             break
-        await asyncio.sleep(around.tuning.confirm_again)
+        await asyncio.sleep(around.tuning.confirm_retry_interval)
     around.log(
         PART,
         "commit not confirmed",
@@ -67,7 +67,7 @@
         return True
     until = group.around.clock() + patience
     while not known_replicas(group, leader) and group.around.clock() < until:
-        await asyncio.sleep(group.around.tuning.confirm_for)
+        await asyncio.sleep(group.around.tuning.confirm_apply_wait)
     replicas = known_replicas(group, leader)
     if any(item.askable for item in replicas):
         return True
@@ -86,8 +86,8 @@
     """
     tuning = group.around.tuning
     replicas = known_replicas(group, leader)
-    until = group.around.clock() + tuning.confirm_for
-    quick = [item for item in replicas if item.lag < tuning.confirm_for]
+    until = group.around.clock() + tuning.confirm_apply_wait
+    quick = [item for item in replicas if item.lag < tuning.confirm_apply_wait]
     found = await gather_evidence(
         group, quick, lambda item: poll_applied(group, item, position, until)
     )
@@ -110,7 +110,7 @@
     What goes wrong when all are asked at once: every commit takes a slot of each.
     """
     ranked = sorted(replicas, key=lambda item: (item.turns.queue.load, item.mean))
-    pause = group.around.tuning.confirm_hedge
+    pause = group.around.tuning.confirm_hedge_delay
     found = []
 
     async def ask_after(item):
@@ -151,7 +151,7 @@
     tasks = {asyncio.create_task(question(item)): item.id for item in replicas}
     found = dict.fromkeys(tasks.values(), Evidence.UNKNOWN)
     tuning, clock = group.around.tuning, group.around.clock
-    until = clock() + tuning.confirm_for + tuning.confirm_margin
+    until = clock() + tuning.confirm_apply_wait + tuning.confirm_margin
     pending = set(tasks)
     while pending and Evidence.HELD not in found.values():
         left = until - clock()
@@ -175,11 +175,11 @@
         found = await ask_one(group, item, position, ask_applied)
         if found is not Evidence.LACKING or clock() >= until:
             break
-        await asyncio.sleep(tuning.confirm_pause)
+        await asyncio.sleep(tuning.confirm_poll_interval)
     if found is Evidence.HELD:
         item.applied_after(clock() - began, tuning)
     elif found is Evidence.LACKING:
-        item.applied_after(2 * tuning.confirm_for, tuning)
+        item.applied_after(2 * tuning.confirm_apply_wait, tuning)
     return found
 
 
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -182,8 +182,8 @@
     """Seconds after which a second upstream is asked as well."""
     tuning = group.around.tuning
     last = group.upstreams.get(job.tried[-1]) if job.tried else None
-    mean = last.mean if last else tuning.first_mean
-    delay = max(tuning.hedge_floor, tuning.hedge_factor * mean)
+    mean = last.mean if last else tuning.initial_mean
+    delay = max(tuning.hedge_min_delay, tuning.hedge_factor * mean)
     return min(delay, job.left(group.around.clock))
 
 
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -92,7 +92,7 @@
             clock=clock, missing_looks=round(tuning.missing_grace / TEND_EVERY)
         )
         self.recorder = MemberRecorder(records=records, log=log)
-        self.board = LeaseBoard(clock=clock, rest=tuning.settled_after)
+        self.board = LeaseBoard(clock=clock, rest=tuning.takeover_max_duration)
         self.around = Surroundings(
             clock=clock,
             dialer=CheckingDialer(dialer=dialer, replaced=self.member_replaced),
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -77,7 +77,7 @@
                 await self.attempt(reason)
             except (LeaseError, UpstreamError) as exc:
                 self.log("attempt ended", error=str(exc))
-                self.rest_until = self.around.clock() + self.around.tuning.lease_rest
+                self.rest_until = self.around.clock() + self.around.tuning.lease_min_age
             finally:
                 self.attempting = False
 
@@ -201,7 +201,7 @@
         ]
         if floor is None or not replicas:
             return False
-        await asyncio.sleep(self.around.tuning.stall_look)
+        await asyncio.sleep(self.around.tuning.stall_check_window)
         statuses = await asyncio.gather(
             *(self.control.status_of(item) for item in replicas)
         )
@@ -228,7 +228,7 @@
         """
         age = self.board.age(self.group.name)
         self.log("replicas found paused", held=held, lease_age=round(age, 2))
-        if age < self.around.tuning.settled_after:
+        if age < self.around.tuning.takeover_max_duration:
             self.rest_until = self.around.clock() + ROUND_PAUSE
             return
         self.control.paused.update(held)
@@ -242,14 +242,14 @@
         self.board.note(name, found)
         seen = self.board.newest(name, found)
         foreign = seen.holder not in ("", self.daemon)
-        if foreign and self.board.age(name) < tuning.lease_rest:
+        if foreign and self.board.age(name) < tuning.lease_min_age:
             self.log("left to its holder", reason=reason, holder=seen.holder)
-            self.rest_until = self.around.clock() + tuning.lease_look
+            self.rest_until = self.around.clock() + tuning.lease_retry_delay
             return False
         lease = await self.leases.take(name, self.daemon, seen)
         if lease is None:
             self.log("lease taken by another", reason=reason)
-            self.rest_until = self.around.clock() + tuning.lease_look
+            self.rest_until = self.around.clock() + tuning.lease_retry_delay
             return False
         self.lease = lease
         self.board.note(name, lease)
@@ -272,7 +272,7 @@
         ):
             self.promotions += 1
             self.control.paused.clear()
-            self.rest_until = self.around.clock() + self.around.tuning.lease_look
+            self.rest_until = self.around.clock() + self.around.tuning.lease_retry_delay
             await self.settle()
             return True
         # The token is spent: the order may still be carried out, or was refused.
@@ -369,8 +369,8 @@
         """
         tuning = self.around.tuning
         if outcome is PromoteOutcome.UNANSWERED:
-            return tuning.unanswered_wait
-        return tuning.promotion_wait
+            return tuning.unanswered_promotion_wait
+        return tuning.promotion_timeout
 
     async def wait_led_by(self, upstream, patience):
         """Wait until a member leads; tell whether it does."""
@@ -417,7 +417,7 @@
         self.log("primary confirmed", upstream=leader, outcome=str(outcome))
         self.note_outcome(leader, outcome)
         if outcome is not PromoteOutcome.ACCEPTED:
-            self.rest_until = self.around.clock() + self.around.tuning.lease_look
+            self.rest_until = self.around.clock() + self.around.tuning.lease_retry_delay
             return
         await self.control.resume_all()
         await self.settle()
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -141,7 +141,7 @@
         """Tell whether a member was the last to prove its lead, and not long ago."""
         newest = self.floors.newest
         known = newest is not None and upstream == self.last_leader
-        return known and self.clock() - newest.asked_at < self.tuning.led_lately
+        return known and self.clock() - newest.asked_at < self.tuning.recent_lead_window
 
     def hidden(self):
         """Tell whether a member that takes no further connection may be the leader.
@@ -170,7 +170,7 @@
     async def pause(self):
         """Wait until the next proof is due or wanted."""
         searching = not self.leader
-        delay = self.tuning.search_every if searching else self.tuning.ping_every
+        delay = self.tuning.search_interval if searching else self.tuning.ping_interval
         if searching:
             await asyncio.sleep(delay)
             return
@@ -291,7 +291,7 @@
         for item in self.group.upstreams.values():
             if item.id not in self.asking:
                 self.ask_in_background(item)
-        until = self.clock() + self.tuning.search_every
+        until = self.clock() + self.tuning.search_interval
         while self.asking and not self.leader and self.clock() < until:
             await asyncio.wait(
                 list(self.asking.values()),
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -57,7 +57,7 @@
     def stalled_for(self, delay):
         """Tell whether writes wait at the primary and none is answered."""
         lasting = self.group.stall.lasting(self.around.clock())
-        return lasting >= self.around.tuning.stall_after + delay
+        return lasting >= self.around.tuning.stall_timeout + delay
 
     def left_unfinished(self, delay):
         """Tell whether somebody's takeover ended without a word, a while ago.
@@ -68,7 +68,7 @@
         name = self.group.name
         if not self.board.unsettled(name):
             return False
-        return self.board.age(name) >= self.around.tuning.settled_after + delay
+        return self.board.age(name) >= self.around.tuning.takeover_max_duration + delay
 
     def primary_leaves(self, delay):
         """Tell whether the primary leaves and another member could lead."""
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -132,7 +132,7 @@
     async def has_all(self, heir, paused):
         """Wait until the heir has received what the paused members have."""
         longest = max((status.received for status in paused.values()), default=None)
-        until = self.around.clock() + self.around.tuning.heir_wait
+        until = self.around.clock() + self.around.tuning.handover_target_wait
         while self.around.clock() < until:
             item = self.group.upstreams.get(heir)
             status = await self.status_of(item) if item is not None else None
@@ -140,7 +140,7 @@
                 return False
             if longest is None or status.received >= longest:
                 return True
-            await asyncio.sleep(self.around.tuning.confirm_pause)
+            await asyncio.sleep(self.around.tuning.confirm_poll_interval)
         self.log("the heir lacks what others have", heir=heir, longest=str(longest))
         return False
 
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -51,7 +51,7 @@
         self.departed_at = {}
         self.tasks = set()
         self.stall = WriteStall()
-        self.floors = Floors(keep=around.tuning.floor_keep)
+        self.floors = Floors(keep=around.tuning.floor_retention)
         self.watch = LeaderWatch(
             group=self,
             floors=self.floors,
@@ -109,7 +109,7 @@
             clock=self.around.clock,
             tuning=self.around.tuning,
         )
-        mean = self.around.tuning.first_mean
+        mean = self.around.tuning.initial_mean
         turns = Turns(
             limit=self.work_limit(member),
             mean=mean,
@@ -152,7 +152,7 @@
         """
         share = self.around.daemons.connection_share(self.spec)
         since_start = self.around.clock() - self.around.started_at
-        if since_start >= self.around.tuning.modest_for:
+        if since_start >= self.around.tuning.startup_limit_duration:
             return share
         return share_after_start(share, since_start)
 
--- a/packages/sessions/gypsum_sessions/upstreams/pool.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pool.py
@@ -40,7 +40,7 @@
         self.opened = 0
         self.used = set()
         # The usual time of a dial, seconds.
-        self.dial_mean = tuning.first_dial
+        self.dial_mean = tuning.initial_dial_time
         # Connections in use by workspace, and those that gave way to another's.
         self.held = Counter()
         self.displaced = 0
@@ -252,11 +252,11 @@
         Not so at an upstream's limit: it has room again at any moment.
         """
         if self.at_limit:
-            self.redial_after = self.tuning.redial_full
+            self.redial_after = self.tuning.redial_delay_at_limit
         else:
             self.redial_after = min(
-                max(self.tuning.redial_first, 2 * self.redial_after),
-                self.tuning.redial_most,
+                max(self.tuning.redial_backoff_min, 2 * self.redial_after),
+                self.tuning.redial_backoff_max,
             )
         self.redial_at = self.clock() + self.redial_after
 
@@ -320,7 +320,9 @@
     def keeps(self, pooled):
         """Seconds for which a connection that is not needed is kept."""
         tuning = self.tuning
-        return tuning.idle_limit_named if pooled.workspace else tuning.idle_limit
+        return (
+            tuning.workspace_idle_timeout if pooled.workspace else tuning.idle_timeout
+        )
 
     def close(self):
         """Close what is idle; what is in use is closed when it comes back."""
--- a/packages/sessions/gypsum_sessions/upstreams/upstream.py
+++ b/packages/sessions/gypsum_sessions/upstreams/upstream.py
@@ -52,14 +52,14 @@
 
     def lacked(self, now, tuning):
         """Note that it lacked a position that a read asked for."""
-        self.lagging_until = now + tuning.lagging_rest
+        self.lagging_until = now + tuning.lagging_retry_delay
         self.behind_at = now
         if self.behind_since is None:
             self.behind_since = now
 
     def behind_for(self, now, tuning):
         """Seconds for which it has lacked what reads asked for; 0 if not lately."""
-        if self.behind_since is None or now - self.behind_at > tuning.behind_known_for:
+        if self.behind_since is None or now - self.behind_at > tuning.behind_expiry:
             return 0.0
         return self.behind_at - self.behind_since
 
@@ -96,7 +96,7 @@
         if is_ours(exc) or now < self.avoid_until:
             return
         self.avoid_for = min(
-            max(tuning.avoid_first, 2 * self.avoid_for), tuning.avoid_most
+            max(tuning.avoid_backoff_min, 2 * self.avoid_for), tuning.avoid_backoff_max
         )
         self.avoid_until = now + self.avoid_for
 
--- a/tests/sessions/test_lagging.py
+++ b/tests/sessions/test_lagging.py
@@ -57,7 +57,7 @@
             for item in rig.proxy.groups["db"].upstreams.values()
             if item.id != "u1"
         ]
-        assert min(item.lag for item in replicas) < rig.proxy.tuning.confirm_for
+        assert min(item.lag for item in replicas) < rig.proxy.tuning.confirm_apply_wait
 
     run(main())
 
--- a/tests/sessions/test_lost_lease.py
+++ b/tests/sessions/test_lost_lease.py
@@ -22,7 +22,7 @@
         await asyncio.sleep(0.1)
         rig.leases.lease = before
         assert not await second.takeovers["db"].take_lease(Reason.NO_PRIMARY)
-        await asyncio.sleep(second.tuning.lease_rest)
+        await asyncio.sleep(second.tuning.lease_min_age)
         assert await second.takeovers["db"].take_lease(Reason.NO_PRIMARY)
         taken = second.takeovers["db"].lease
         assert taken.token > held.token
--- a/tests/sessions/test_pool.py
+++ b/tests/sessions/test_pool.py
@@ -119,7 +119,7 @@
             await asyncio.sleep(0.01)
         assert dialer.dials <= 6
         group["u1"].restart()
-        await asyncio.sleep(DEFAULT_SESSION_TUNING.redial_most)
+        await asyncio.sleep(DEFAULT_SESSION_TUNING.redial_backoff_max)
         pool.release(await pool.acquire(values={}, timeout=1.0))
         assert pool.redial_after == 0.0
 
@@ -172,7 +172,7 @@
             await asyncio.sleep(0.01)
         assert 8 <= dialer.dials <= 11
         group["u1"].limit = 9
-        await asyncio.sleep(DEFAULT_SESSION_TUNING.redial_full)
+        await asyncio.sleep(DEFAULT_SESSION_TUNING.redial_delay_at_limit)
         pool.release(await pool.acquire(values={}, timeout=1.0))
 
     run(main())
@@ -204,7 +204,7 @@
             pool.release(pooled)
         pool.trim()
         assert pool.opened == 3
-        await asyncio.sleep(DEFAULT_SESSION_TUNING.idle_limit + 0.1)
+        await asyncio.sleep(DEFAULT_SESSION_TUNING.idle_timeout + 0.1)
         pool.trim()
         assert pool.opened == 1 == len(group["u1"].conns)
 
@@ -298,7 +298,7 @@
         assert pool.limit == LEAST_CONNECTIONS
         held = [await pool.acquire(values={}, timeout=1.0) for _ in range(pool.limit)]
         waiting = asyncio.create_task(pool.acquire(values={}, timeout=9.0))
-        await asyncio.sleep(tuning.modest_for + 0.5)
+        await asyncio.sleep(tuning.startup_limit_duration + 0.5)
         assert pool.limit > LEAST_CONNECTIONS
         for pooled in (*held, await waiting):
             pool.release(pooled)
--- a/tests/sessions/test_return.py
+++ b/tests/sessions/test_return.py
@@ -120,7 +120,9 @@
     Sequence: as above. Cause: the daemons that were back first took all connections
     that the upstreams had left, and many stood open before the loss.
     """
-    full_shares = replace(DEFAULT_SESSION_TUNING, modest_for=0.0, idle_limit=60.0)
+    full_shares = replace(
+        DEFAULT_SESSION_TUNING, startup_limit_duration=0.0, idle_timeout=60.0
+    )
     _, told = run(play(DEFAULT_SESSION_TUNING))
     _, told_with_full_shares = run(play(full_shares))
     assert refused(told) <= 0.6 * refused(told_with_full_shares)
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -164,7 +164,7 @@
         left = await rig.leases.take("db", "dead", rig.leases.lease)
         for name in ("u2", "u3"):
             rig.group[name].paused = 2
-        await asyncio.sleep(rig.proxy.tuning.settled_after + 1.5)
+        await asyncio.sleep(rig.proxy.tuning.takeover_max_duration + 1.5)
         assert rig.leases.lease.token == left.token + 1
         assert rig.leases.lease.settled
         assert [rig.group[name].paused for name in ("u2", "u3")] == [0, 0]
