--- a/packages/sessions/gypsum_sessions/callers/caller.py
+++ b/packages/sessions/gypsum_sessions/callers/caller.py
@@ -49,7 +49,7 @@
         """Begin to work on messages."""
         self.proxy.callers.add(self)
         self.task = asyncio.create_task(self.run())
-        self.task.add_done_callback(self.proxy.finished)
+        self.task.add_done_callback(self.proxy.on_task_done)
 
     # Messages, as the adapter decodes them
 
@@ -166,7 +166,7 @@
         transactions until the process ends. It has to as well when its key counts no
         more.
         """
-        departure = self.proxy.departure
+        departure = self.proxy.drain_state
         leaves = departure is not None and departure.closes_sessions
         if not leaves and not self.session.withdrawn:
             return False
--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -49,9 +49,11 @@
 async def drain(proxy, plan, stop_listening):
     """Refuse readiness, let work end, close idle sessions, end."""
     departure = Departure(plan=plan, began=proxy.clock(), clock=proxy.clock)
-    proxy.departure = departure
-    proxy.log(PART, "started", callers=len(proxy.callers), links=len(proxy.desks))
-    for desk in list(proxy.desks):
+    proxy.drain_state = departure
+    proxy.log(
+        PART, "started", callers=len(proxy.callers), links=len(proxy.peer_handlers)
+    )
+    for desk in list(proxy.peer_handlers):
         desk.tell_leaving()
     stand_ins = StandIns(proxy=proxy)
     listening = True
@@ -71,7 +73,7 @@
         PART,
         "ended",
         callers=len(proxy.callers),
-        ended_transactions=proxy.drain_ended,
+        ended_transactions=proxy.drain_rollbacks,
     )
 
 
@@ -92,7 +94,7 @@
         session = caller.session
         waiting = session is not None and not session.running and not caller.busy
         if waiting and session.state is SessionState.IN_TRANSACTION:
-            proxy.drain_ended += 1
+            proxy.drain_rollbacks += 1
             proxy.log(
                 PART,
                 "transaction ended",
@@ -100,10 +102,10 @@
                 request=session.last_request,
             )
             await session.abort_open()
-    for desk in list(proxy.desks):
+    for desk in list(proxy.peer_handlers):
         desk.end_waiting()
 
 
 def owners_work(proxy):
     """Tell whether other daemons' statements are worked on here."""
-    return any(desk.busy for desk in proxy.desks)
+    return any(desk.busy for desk in proxy.peer_handlers)
--- a/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
+++ b/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
@@ -77,7 +77,7 @@
         the place of one that heard of it, brings new work until the process ends.
         """
         self.frames = frames
-        if self.proxy.departure:
+        if self.proxy.drain_state:
             self.tell_leaving()
 
     def frame(self, data):
@@ -111,7 +111,7 @@
         if self.closed:
             return
         self.closed = True
-        self.proxy.desks.discard(self)
+        self.proxy.peer_handlers.discard(self)
         for task in self.reads:
             task.cancel()
         for number in list(self.held):
@@ -136,7 +136,7 @@
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
-        task.add_done_callback(self.proxy.finished)
+        task.add_done_callback(self.proxy.on_task_done)
         return task
 
     async def serve(self, ask):
@@ -204,7 +204,7 @@
             return ""
         if ask.if_led and not group.watch.leader:
             return "no primary is proven here"
-        departure, opens = self.proxy.departure, bool(ask.transaction)
+        departure, opens = self.proxy.drain_state, bool(ask.transaction)
         if departure and not departure.takes(opens=opens, last_resort=ask.last_resort):
             return "this daemon leaves"
         if ask.last_resort:
@@ -291,7 +291,7 @@
 
     def tell_leaving(self):
         """Ask the other daemon to send new work elsewhere."""
-        departure = self.proxy.departure
+        departure = self.proxy.drain_state
         opens_for = departure.opens_for if departure else 0.0
         if not self.closed:
             self.frames.send(encode(Leaving(opens_for=opens_for)))
@@ -304,7 +304,7 @@
         for held in self.held.values():
             if not held.lock.locked() and not held.ended:
                 held.ended = True
-                self.proxy.drain_ended += 1
+                self.proxy.drain_rollbacks += 1
                 self.proxy.log(
                     PART, "transaction ended", peer=self.peer, request=held.request
                 )
--- a/packages/sessions/gypsum_sessions/metrics.py
+++ b/packages/sessions/gypsum_sessions/metrics.py
@@ -70,7 +70,7 @@
             "Era of the store's history; it rises when the store returns from a copy.",
             registry=self.registry,
         )
-        self.drain_ended = Counter(
+        self.drain_rollbacks = Counter(
             "gypsum_drain_ended_transactions_total",
             "Transactions that were rolled back because this daemon was told to stop.",
             registry=self.registry,
@@ -108,9 +108,9 @@
         self.state.set({"what": "open"}, len(proxy.sessions))
         self.state.set({"what": "configuration"}, proxy.catalog.version)
         self.state.set({"what": "lines_dropped"}, dropped_lines)
-        self.drain_ended.set({}, proxy.drain_ended)
+        self.drain_rollbacks.set({}, proxy.drain_rollbacks)
         self.take_usage(proxy.usage)
-        for name, feed in proxy.following.feeds.items():
+        for name, feed in proxy.feed_follower.feeds.items():
             vouched = number_of(feed.state.revision) if feed.state else -1
             self.feeds.set({"feed": name, "what": "era"}, era_of(feed.known))
             self.feeds.set({"feed": name, "what": "known"}, number_of(feed.known))
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -24,16 +24,16 @@
 
 PART = "proxy"
 # How often idle transactions and members that left the list are looked for, seconds.
-TEND_EVERY = 0.25
+MAINTENANCE_INTERVAL = 0.25
 # The leases are read anew once members have been newer for this many looks: mostly the
 # watch tells something of its own within half a second.
-BEHIND_LOOKS = 3
+STALE_LEASE_CHECKS = 3
 # Pause before a loop that failed is started anew, seconds.
-RESTART_PAUSE = 0.5
+RESTART_DELAY = 0.5
 # How often the process notes that it runs, and how long a gap says that it did not,
 # seconds: other daemons take a link for silent a tenth later.
-AWAKE_EVERY = 0.05
-STOOD_STILL = 0.5
+PAUSE_CHECK_INTERVAL = 0.05
+PAUSE_THRESHOLD = 0.5
 
 
 class CheckingDialer:
@@ -89,13 +89,14 @@
         own = DaemonEntry(id=name, domain=domain, link=link_address)
         self.daemons = Daemons(own=own, all_watch_up_to=all_watch_up_to)
         self.roster = Roster(
-            clock=clock, missing_looks=round(tuning.missing_grace / TEND_EVERY)
+            clock=clock,
+            missing_looks=round(tuning.missing_grace / MAINTENANCE_INTERVAL),
         )
         self.recorder = MemberRecorder(records=records, log=log)
-        self.board = LeaseBoard(clock=clock, rest=tuning.takeover_max_duration)
+        self.lease_view = LeaseBoard(clock=clock, rest=tuning.takeover_max_duration)
         self.around = Surroundings(
             clock=clock,
-            dialer=CheckingDialer(dialer=dialer, replaced=self.member_replaced),
+            dialer=CheckingDialer(dialer=dialer, replaced=self.on_member_replaced),
             tuning=tuning,
             log=log,
             domain=domain,
@@ -103,7 +104,7 @@
             started_at=clock(),
             catalog=self.catalog,
             daemons=self.daemons,
-            board=self.board,
+            board=self.lease_view,
         )
         self.peers = Peers(dialer=links, daemons=self.daemons, clock=clock, log=log)
         self.relay = Relay(
@@ -111,7 +112,7 @@
             in_touch_for=tuning.in_touch_for,
             watches=self.daemons.watches,
         )
-        self.following = Following(
+        self.feed_follower = Following(
             daemons=self.daemons, peers=self.peers, clock=clock, log=log
         )
         self.requests = RequestLog(proxy=self)
@@ -125,20 +126,20 @@
         self.warm_links = WarmLinks(
             catalog=self.catalog, daemons=self.daemons, peers=self.peers
         )
-        self.desks = set()
-        self.awake_at = clock()
+        self.peer_handlers = set()
+        self.last_awake = clock()
         self.hosting = Hosting(proxy=self)
         self.groups = self.hosting.groups
         self.takeovers = self.hosting.takeovers
         self.sessions = {}
         self.callers = set()
         self.tasks = set()
-        self.numbers = 0
-        self.roster_known = False
+        self.last_session_number = 0
+        self.members_known = False
         # How this daemon leaves, once it was told to stop.
-        self.departure = None
+        self.drain_state = None
         # Transactions that its leaving has ended.
-        self.drain_ended = 0
+        self.drain_rollbacks = 0
 
     # Configuration and members
 
@@ -148,9 +149,9 @@
 
         Not while this daemon is cut off from most of a group: others serve its callers.
         """
-        if self.departure or self.catalog.version < 0:
+        if self.drain_state or self.catalog.version < 0:
             return False
-        listed = self.roster_known and self.board.known_to >= 0
+        listed = self.members_known and self.lease_view.known_to >= 0
         return listed and not self.cut_off()
 
     def cut_off(self):
@@ -171,10 +172,10 @@
         )
         for name, group in self.groups.items():
             group.spec = candidate.groups.get(name, group.spec)
-        self.end_withdrawn()
+        self.close_withdrawn_sessions()
         self.hosting.tend()
 
-    def end_withdrawn(self):
+    def close_withdrawn_sessions(self):
         """End the sessions whose key counts no more under the version in force.
 
         Those that wait for nothing are closed, open transactions rolled back; what runs
@@ -203,25 +204,25 @@
 
     # Daemons
 
-    def take_daemons(self, entries):
+    def update_daemons(self, entries):
         """Take in the whole list of daemons."""
         self.daemons.take_all(entries)
         self.usage.list_changed()
         self.hosting.tend()
 
-    def take_daemon(self, entry):
+    def update_daemon(self, entry):
         """A daemon registered, or changed its entry; groups are tended to soon."""
         self.daemons.add(entry)
         self.usage.list_changed()
 
-    def drop_missing(self):
+    def expire_daemons(self):
         """One look at daemons that the list lacks: drop those that stay away."""
-        looks = round(missing_for(len(self.daemons.known)) / TEND_EVERY)
+        looks = round(missing_for(len(self.daemons.known)) / MAINTENANCE_INTERVAL)
         for name in self.daemons.expire(looks):
             self.log(PART, "daemon not listed any more", peer=name)
-            self.drop_daemon(name)
+            self.remove_daemon(name)
 
-    def drop_daemon(self, name):
+    def remove_daemon(self, name):
         """A daemon's entry was removed."""
         self.daemons.discard(name)
         self.peers.forget(name)
@@ -229,18 +230,18 @@
 
     # Members
 
-    def take_members(self, members):
+    def update_members(self, members):
         """Take in a whole list of upstreams."""
         self.roster.replace_all(members)
-        self.roster_known = True
+        self.members_known = True
         for name in self.groups:
             self.refresh_members(name)
 
-    async def relist(self):
+    async def reload_members(self):
         """Read the list of upstreams now; raises LeaseError."""
-        self.take_members(await self.member_list.read_all())
+        self.update_members(await self.member_list.read_all())
 
-    def take_member(self, member):
+    def update_member(self, member):
         """Take in one changed upstream."""
         kept = self.roster.seen(member)
         if kept is None:
@@ -257,7 +258,7 @@
         )
         self.refresh_members(kept.group)
 
-    def recall(self, group, members):
+    def add_recorded_members(self, group, members):
         """Take in which members a group had when that was last recorded.
 
         What goes wrong without it: the store was away and lists a part of a group; a
@@ -268,14 +269,14 @@
         self.roster.recall(members)
         self.refresh_members(group)
 
-    def drop_member(self, name):
+    def remove_member(self, name):
         """An upstream's entry vanished from the list, or became unusable."""
         self.log(PART, "upstream not listed any more", upstream=name)
         self.roster.gone(name)
         for name in self.groups:
             self.refresh_members(name)
 
-    def member_replaced(self, member, detail):
+    def on_member_replaced(self, member, detail):
         """Another upstream is at a member's address: the member is gone for good.
 
         What goes wrong without it: a takeover waits for a replica that no longer
@@ -302,9 +303,9 @@
         credential = self.catalog.admit(route, digest) if route else None
         if credential is None:
             return None
-        self.numbers += 1
+        self.last_session_number += 1
         session = Session(
-            number=self.numbers,
+            number=self.last_session_number,
             database=database,
             route=route,
             proxy=self,
@@ -326,17 +327,17 @@
         What goes wrong without it: a statement that came before the end of a daemon's
         grace still runs when the process ends, and its connection is cut.
         """
-        return min(wanted, self.departure.answer_by) if self.departure else wanted
+        return min(wanted, self.drain_state.answer_by) if self.drain_state else wanted
 
     # Other daemons' statements
 
-    def open_desk(self, peer):
+    def open_peer_handler(self, peer):
         """Another daemon opened a link: who works on its statements."""
         desk = OwnerDesk(proxy=self, peer=peer)
-        self.desks.add(desk)
+        self.peer_handlers.add(desk)
         return desk
 
-    def watch_pauses(self):
+    def detect_pauses(self):
         """Notice when this process stood still, and drop what was asked before.
 
         What goes wrong without it: a daemon that thaws reads statements that were
@@ -345,13 +346,13 @@
         to come before the tasks that read the links.
         """
         now = self.clock()
-        if now - self.awake_at > STOOD_STILL:
-            self.log(PART, "stood still", seconds=round(now - self.awake_at, 2))
-            for desk in list(self.desks):
+        if now - self.last_awake > PAUSE_THRESHOLD:
+            self.log(PART, "stood still", seconds=round(now - self.last_awake, 2))
+            for desk in list(self.peer_handlers):
                 desk.frames.close()
                 desk.lost("stood still")
-        self.awake_at = now
-        asyncio.get_running_loop().call_later(AWAKE_EVERY, self.watch_pauses)
+        self.last_awake = now
+        asyncio.get_running_loop().call_later(PAUSE_CHECK_INTERVAL, self.detect_pauses)
 
     # Tasks
 
@@ -359,7 +360,7 @@
         """Run a coroutine to its end, or until the daemon stops."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self.finished)
+        task.add_done_callback(self.on_task_done)
         return task
 
     def keep_running(self, make_work):
@@ -368,9 +369,9 @@
         What goes wrong without it: an error that nobody thought of ends a watch,
         and the daemon serves on with what it knew then.
         """
-        return self.spawn(self.restart(make_work))
+        return self.spawn(self.run_forever(make_work))
 
-    async def restart(self, make_work):
+    async def run_forever(self, make_work):
         """Run a loop again and again."""
         while True:
             try:
@@ -379,28 +380,28 @@
                 self.log(
                     PART, "loop failed", loop=make_work.__qualname__, error=repr(exc)
                 )
-            await asyncio.sleep(RESTART_PAUSE)
+            await asyncio.sleep(RESTART_DELAY)
 
-    def finished(self, task):
+    def on_task_done(self, task):
         """A task ended; one that failed must not pass unseen."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.log(PART, "task failed", error=repr(task.exception()))
 
-    async def tend(self):
+    async def run_maintenance(self):
         """End idle transactions and drop members that are gone, for ever."""
         while True:
-            await asyncio.sleep(TEND_EVERY)
+            await asyncio.sleep(MAINTENANCE_INTERVAL)
             for member in self.roster.expire():
                 self.log(PART, "upstream gone", upstream=member.id)
                 self.refresh_members(member.group)
-            self.drop_missing()
+            self.expire_daemons()
             await self.end_idle_transactions()
             self.hosting.tend()
             for group in self.groups.values():
                 group.trim()
 
-    async def keep_leases_known(self):
+    async def refresh_leases(self):
         """Read the leases anew when members are listed that are newer, for ever.
 
         What goes wrong without it: entries that the store had lost are back as new
@@ -409,29 +410,29 @@
         """
         behind = 0
         while True:
-            await asyncio.sleep(TEND_EVERY)
+            await asyncio.sleep(MAINTENANCE_INTERVAL)
             newest = max(
                 (member.joined for member in self.roster.members.values()), default=-1
             )
-            behind = behind + 1 if 0 <= self.board.known_to < newest else 0
-            if behind < BEHIND_LOOKS:
+            behind = behind + 1 if 0 <= self.lease_view.known_to < newest else 0
+            if behind < STALE_LEASE_CHECKS:
                 continue
             behind = 0
             try:
                 leases, revision = await self.leases.read_all()
             except LeaseError as exc:
                 self.log(PART, "leases not read", error=str(exc))
-                await asyncio.sleep(RESTART_PAUSE)
+                await asyncio.sleep(RESTART_DELAY)
                 continue
             for group, lease in leases.items():
-                self.board.note(group, lease)
-            self.board.note_known(revision)
+                self.lease_view.note(group, lease)
+            self.lease_view.note_known(revision)
 
-    async def keep_records(self):
+    async def record_members(self):
         """Keep the groups' members on record, for ever."""
         while True:
             await asyncio.sleep(LOOK_EVERY)
-            if self.board.known_to < 0:
+            if self.lease_view.known_to < 0:
                 continue
             for name, group in list(self.groups.items()):
                 place = self.takeovers[name].place()
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -74,9 +74,9 @@
             group=group,
             daemon=self.proxy.name,
             leases=self.proxy.leases,
-            board=self.proxy.board,
+            board=self.proxy.lease_view,
             promoter=self.proxy.promoter,
-            relist=self.proxy.relist,
+            relist=self.proxy.reload_members,
             recorder=self.proxy.recorder,
             reach=reach,
         )
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -164,15 +164,15 @@
         """A configuration."""
         self.versions.append(candidate.version)
 
-    def take_members(self, members):
+    def update_members(self, members):
         """A whole list."""
         self.members = {member.id: member for member in members}
 
-    def take_member(self, member):
+    def update_member(self, member):
         """One entry."""
         self.members[member.id] = member
 
-    def drop_member(self, upstream):
+    def remove_member(self, upstream):
         """An entry vanished."""
         self.members.pop(upstream, None)
 
@@ -192,15 +192,15 @@
     def __init__(self):
         super().__init__()
         self.daemons = DaemonsDouble()
-        self.board = LeaseBoard(clock=time.monotonic, rest=4.0)
+        self.lease_view = LeaseBoard(clock=time.monotonic, rest=4.0)
         self.recorder = MemberRecorder(records=None, log=self.log)
         self.recalled = {}
 
-    def take_daemons(self, entries):
+    def update_daemons(self, entries):
         """The daemons that are registered."""
         self.daemons = DaemonsDouble({entry.id: entry for entry in entries})
 
-    def recall(self, group, members):
+    def add_recorded_members(self, group, members):
         """A record found at the start."""
         self.recalled[group] = members
 
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -367,12 +367,12 @@
         self.rig.links.reset(old.name)
         names = [proxy.name for proxy in self.rig.proxies]
         proxy = self.rig.make_proxy(old.name, names, old.tuning, self.rig.version)
-        proxy.board.seen.clear()
+        proxy.lease_view.seen.clear()
         if self.rig.leases.lease.token:
-            proxy.board.note_first("db", self.rig.leases.lease)
+            proxy.lease_view.note_first("db", self.rig.leases.lease)
         proxy.recorder.recorded.clear()
         if "db" in self.rig.records.saved:
-            proxy.recall("db", self.rig.records.saved["db"])
+            proxy.add_recorded_members("db", self.rig.records.saved["db"])
         self.rig.proxies[place] = proxy
         tend(proxy)
 
@@ -425,10 +425,10 @@
     def drain_daemon(self):
         """A daemon leaves: it takes no new work and ends what waits."""
         proxy = self.rng.choice(self.rig.proxies)
-        for desk in list(proxy.desks):
+        for desk in list(proxy.peer_handlers):
             desk.tell_leaving()
         loop = asyncio.get_running_loop()
-        for desk in list(proxy.desks):
+        for desk in list(proxy.peer_handlers):
             loop.call_later(1.0, desk.end_waiting)
 
     def withdraw(self):
@@ -453,9 +453,9 @@
 
 def tend(proxy):
     """Start what a daemon does all the time."""
-    proxy.keep_running(proxy.tend)
-    proxy.keep_running(proxy.keep_records)
-    proxy.keep_running(proxy.keep_leases_known)
+    proxy.keep_running(proxy.run_maintenance)
+    proxy.keep_running(proxy.record_members)
+    proxy.keep_running(proxy.refresh_leases)
 
 
 async def keep_listed(rig):
@@ -463,7 +463,7 @@
     while True:
         await asyncio.sleep(0.3)
         for proxy in rig.proxies:
-            proxy.take_members(rig.group.listing())
+            proxy.update_members(rig.group.listing())
             if "db" in rig.records.saved:
                 proxy.recorder.note("db", rig.records.saved["db"])
             if not rig.leases.down:
@@ -527,7 +527,7 @@
     rig.version += 1
     for proxy in rig.proxies:
         proxy.around.dialer.dialer.cut.clear()
-        proxy.take_members(rig.group.listing())
+        proxy.update_members(rig.group.listing())
         if rig.keys:
             proxy.offer_catalog(rig.configured(rig.version, rig.keys), "test")
 
--- a/tests/sessions/fakelinks.py
+++ b/tests/sessions/fakelinks.py
@@ -50,8 +50,8 @@
     def thaw(self, daemon):
         """It goes on: first it notices, then it reads."""
         self.frozen.discard(daemon)
-        self.proxies[daemon].awake_at = self.loop.clock() - 60.0
-        self.proxies[daemon].watch_pauses()
+        self.proxies[daemon].last_awake = self.loop.clock() - 60.0
+        self.proxies[daemon].detect_pauses()
         for link in list(self.open):
             if link.at == daemon:
                 link.deliver_waiting()
@@ -87,7 +87,7 @@
         far = FakeFrameLink(links=self.links, at=address, to=self.daemon)
         near.other, far.other = far, near
         near.receiver = receiver
-        far.receiver = self.links.proxies[address].open_desk(self.daemon)
+        far.receiver = self.links.proxies[address].open_peer_handler(self.daemon)
         far.receiver.opened(far)
         return near
 
--- a/tests/sessions/feedrig.py
+++ b/tests/sessions/feedrig.py
@@ -224,13 +224,13 @@
                 log=proxy.log,
                 waker=waker,
                 relay=proxy.relay,
-                following=proxy.following,
+                following=proxy.feed_follower,
                 watch_ms=CONFIG_WATCH_MS if kind == CONFIG_KIND else WATCH_MS,
             )
             feed.rng = rng
             proxy.keep_running(feed.run)
         proxy.keep_running(proxy.relay.run)
-        proxy.keep_running(proxy.following.run)
+        proxy.keep_running(proxy.feed_follower.run)
 
     @property
     def followers(self):
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -165,9 +165,9 @@
                 log=self.log,
                 waker=waker,
                 gather=gather,
-                caught_up=proxy.board.note_known if kind == OWN_KIND else None,
+                caught_up=proxy.lease_view.note_known if kind == OWN_KIND else None,
                 relay=proxy.relay,
-                following=proxy.following,
+                following=proxy.feed_follower,
                 watch_ms=CONFIG_WATCH_MS if kind == CONFIG_KIND else WATCH_MS,
             )
             proxy.keep_running(feed.run)
@@ -179,12 +179,12 @@
             waker=waker,
             rejoined=proxy.daemons.rejoin,
         )
-        for work in (registrar.run, proxy.relay.run, proxy.following.run):
+        for work in (registrar.run, proxy.relay.run, proxy.feed_follower.run):
             proxy.keep_running(work)
         if self.catalog is not None:
-            proxy.keep_running(proxy.tend)
+            proxy.keep_running(proxy.run_maintenance)
             proxy.offer_catalog(self.catalog, "test")
-            proxy.take_members(members_of(self.catalog))
+            proxy.update_members(members_of(self.catalog))
 
     def calls(self):
         """Calls of all daemons since the last look, by step and kind."""
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -205,12 +205,12 @@
         self.links.proxies[name] = proxy
         # These daemons have been running for long.
         proxy.daemons.rejoined = True
-        proxy.take_daemons(
+        proxy.update_daemons(
             [DaemonEntry(id=name, domain="a", link=name) for name in names]
         )
-        self.leases.boards.append(proxy.board)
+        self.leases.boards.append(proxy.lease_view)
         proxy.offer_catalog(self.configured(version, self.keys, self.caps), "test")
-        proxy.take_members(self.group.listing())
+        proxy.update_members(self.group.listing())
         self.catch_up(proxy)
         proxy.recorder.note("db", self.group.listing())
         return proxy
@@ -238,8 +238,8 @@
 
     def catch_up(self, proxy):
         """A daemon's watch of the leases has shown it all that there is."""
-        proxy.board.note("db", self.leases.lease)
-        proxy.board.note_known(self.group.revision)
+        proxy.lease_view.note("db", self.leases.lease)
+        proxy.lease_view.note_known(self.group.revision)
 
     def log(self, part, event, **fields):
         """Keep a line; its fields must not hide what every line has."""
--- a/tests/sessions/test_confirm.py
+++ b/tests/sessions/test_confirm.py
@@ -45,7 +45,7 @@
         rig.group["u1"].cut_from.update({"u2", "u3"})
         joined = FakeMember(id="u4", group=rig.group)
         rig.group.members.append(joined)
-        rig.proxy.take_members(rig.group.listing())
+        rig.proxy.update_members(rig.group.listing())
         reply = await rig.caller("own").send("WRITE a 1")
         assert reply.refusal is Refusal.IN_DOUBT
 
@@ -186,7 +186,7 @@
     async def main():
         rig = await settled_rig()
         rig.group["u2"].deaf = True
-        rig.proxy.take_members(
+        rig.proxy.update_members(
             [
                 replace(member, leaving=True) if member.id == "u3" else member
                 for member in rig.group.listing()
@@ -235,10 +235,10 @@
 
     async def main():
         rig = await settled_rig()
-        rig.proxy.keep_running(rig.proxy.keep_leases_known)
+        rig.proxy.keep_running(rig.proxy.refresh_leases)
         for member in rig.group.members:
             member.joined = rig.group.next_revision()
-        rig.proxy.take_members(rig.group.listing())
+        rig.proxy.update_members(rig.group.listing())
         caller = rig.caller("own")
         runs = rig.group["u1"].runs
         writing = asyncio.create_task(caller.send("WRITE a 1"))
@@ -260,13 +260,13 @@
     async def main():
         rig = await settled_rig()
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
-        rig.proxy.board.note("db", lease)
+        rig.proxy.lease_view.note("db", lease)
         for name in ("u2", "u3"):
             rig.group[name].crash()
             rig.group[name].restart()
         caller = rig.caller("own")
         assert (await caller.send("WRITE a 1")).refusal is Refusal.IN_DOUBT
-        rig.proxy.board.note("db", replace(lease, settled=True))
+        rig.proxy.lease_view.note("db", replace(lease, settled=True))
         assert (await caller.send("WRITE a 2")).ok
 
     run(main())
@@ -279,7 +279,7 @@
         rig = await settled_rig()
         assert (await rig.caller("own").send("WRITE a 1")).ok
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
-        rig.proxy.board.note("db", lease)
+        rig.proxy.lease_view.note("db", lease)
         assert (await rig.caller("own").send("WRITE a 2")).ok
 
     run(main())
--- a/tests/sessions/test_departed.py
+++ b/tests/sessions/test_departed.py
@@ -12,7 +12,7 @@
 def start_listing(rig):
     """The list and its graces work as in a daemon."""
     for proxy in rig.proxies:
-        proxy.keep_running(proxy.tend)
+        proxy.keep_running(proxy.run_maintenance)
     rig.proxy.keep_running(lambda: keep_listed(rig))
 
 
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -346,9 +346,9 @@
         draining = asyncio.create_task(drain(leaving, plan_for(6.0), lambda: None))
         await asyncio.sleep(0.5)
         followed = {
-            proxy.following.link.peer
+            proxy.feed_follower.link.peer
             for proxy in rig.rig.proxies
-            if proxy.following.link is not None
+            if proxy.feed_follower.link is not None
         }
         assert followed and leaving.name not in followed
         rig.store.put("config", "main", {"version": 2})
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -19,7 +19,7 @@
         replace(member, leaving=member.id == name) for member in rig.group.listing()
     ]
     for proxy in rig.proxies:
-        proxy.take_members(listed)
+        proxy.update_members(listed)
 
 
 def longest_gap(told, after):
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -80,7 +80,7 @@
 def refresh(rig):
     """All daemons see the list as it is now."""
     for proxy in rig.proxies:
-        proxy.take_members(rig.group.listing())
+        proxy.update_members(rig.group.listing())
         rig.catch_up(proxy)
 
 
@@ -111,7 +111,7 @@
         rig = Rig()
         await rig.settle()
         lease = await rig.leases.take("db", "other", rig.leases.lease)
-        rig.proxy.board.note("db", lease)
+        rig.proxy.lease_view.note("db", lease)
         rig.group["u2"].restart_empty()
         refresh(rig)
         known = known_replicas(rig.proxy.groups["db"], "u1")
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -25,7 +25,7 @@
     """Daemons of which some own the group, with all that they do all the time."""
     rig = await owners_rig(**fleet)
     for proxy in rig.proxies:
-        proxy.keep_running(proxy.tend)
+        proxy.keep_running(proxy.run_maintenance)
     return rig
 
 
@@ -45,7 +45,7 @@
     rig.links.reset(proxy.name)
     names = [item.name for item in rig.proxies]
     fresh = rig.make_proxy(proxy.name, names, proxy.tuning, 1)
-    fresh.keep_running(fresh.tend)
+    fresh.keep_running(fresh.run_maintenance)
     rig.proxies[names.index(proxy.name)] = fresh
     return fresh
 
@@ -98,7 +98,7 @@
         draining = start_drain(owner)
         await asyncio.sleep(0.1)
         assert await other.peers.link(owner.name, 0.4) is link
-        assert len(owner.desks) == 1
+        assert len(owner.peer_handlers) == 1
         draining.cancel()
 
     run(main())
@@ -160,7 +160,7 @@
                 start_drain(proxy)
         await asyncio.sleep(NOTICED)
         asked = []
-        for desk in [desk for proxy in rig.proxies for desk in proxy.desks]:
+        for desk in [desk for proxy in rig.proxies for desk in proxy.peer_handlers]:
             desk.take = asked.append
         caller = rig.caller("own", other)
         await caller.send("BEGIN")
@@ -179,7 +179,7 @@
         rig = await make_rig()
         other, owner, draining = await leave_unheard(rig)
         assert (await rig.caller("own", other).send("WRITE a 1")).ok
-        assert not any(desk.tasks for desk in owner.desks)
+        assert not any(desk.tasks for desk in owner.peer_handlers)
         await draining
 
     run(main())
@@ -416,7 +416,7 @@
         owner = rig.links.proxies[name]
         start_drain(owner)
         await asyncio.sleep(NOTICED)
-        for desk in owner.desks:
+        for desk in owner.peer_handlers:
             desk.held.clear()
         assert (await caller.send("COMMIT")).refusal is Refusal.ABORTED
         assert rig.group.acknowledged == []
--- a/tests/sessions/test_metrics.py
+++ b/tests/sessions/test_metrics.py
@@ -71,7 +71,7 @@
 def test_transactions_that_a_drain_ended_are_counted():
     async def main():
         rig = Rig()
-        rig.proxy.drain_ended = 2
+        rig.proxy.drain_rollbacks = 2
         metrics = SessionMetrics()
         metrics.take(rig.proxy, 0)
         return metrics
--- a/tests/sessions/test_pool.py
+++ b/tests/sessions/test_pool.py
@@ -293,7 +293,7 @@
         await rig.settle()
         group = rig.proxy.groups["db"]
         tuning = rig.proxy.tuning
-        rig.proxy.keep_running(rig.proxy.tend)
+        rig.proxy.keep_running(rig.proxy.run_maintenance)
         pool = group.upstreams["u1"].pool
         assert pool.limit == LEAST_CONNECTIONS
         held = [await pool.acquire(values={}, timeout=1.0) for _ in range(pool.limit)]
--- a/tests/sessions/test_reach.py
+++ b/tests/sessions/test_reach.py
@@ -122,7 +122,7 @@
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
-        rig.proxy.board.note_known(0)
+        rig.proxy.lease_view.note_known(0)
         assert rig.proxy.ready
         for upstream in ("u1", "u2"):
             rig.cut(rig.proxy, upstream)
--- a/tests/sessions/test_recorder.py
+++ b/tests/sessions/test_recorder.py
@@ -20,7 +20,7 @@
     """All daemons keep records, and there is none yet."""
     for proxy in rig.proxies:
         proxy.recorder.recorded.clear()
-        proxy.keep_running(proxy.keep_records)
+        proxy.keep_running(proxy.record_members)
 
 
 async def looks(count):
@@ -46,7 +46,7 @@
         assert rig.records.saves == 1
         rig.group.add(1)
         for proxy in rig.proxies:
-            proxy.take_members(rig.group.listing())
+            proxy.update_members(rig.group.listing())
         await looks(RECORD_AFTER)
         assert rig.records.saves == 2
 
@@ -59,9 +59,9 @@
         rig.group.add(1)
         first = min(rig.proxies, key=lambda proxy: proxy.takeovers["db"].place())
         for proxy in rig.proxies:
-            proxy.take_members(rig.group.listing())
+            proxy.update_members(rig.group.listing())
             if proxy is not first:
-                proxy.keep_running(proxy.keep_records)
+                proxy.keep_running(proxy.record_members)
         await looks(RECORD_AFTER + RECORD_STEP)
         assert rig.records.saves == 1
 
@@ -108,9 +108,9 @@
         del proxy.roster.members[name]
     record = rig.group.listing()
     rig.group.unlisted = names(record) - listed
-    proxy.take_members(rig.group.listing())
-    proxy.recall("db", record)
-    proxy.keep_running(proxy.tend)
+    proxy.update_members(rig.group.listing())
+    proxy.add_recorded_members("db", record)
+    proxy.keep_running(proxy.run_maintenance)
     return proxy
 
 
@@ -135,7 +135,7 @@
         assert rig.group.promotions == []
         rig.group["u1"].dark = rig.group["u2"].dark = False
         rig.group.unlisted.clear()
-        late.take_members(rig.group.listing())
+        late.update_members(rig.group.listing())
         await asyncio.sleep(4.0)
         assert rig.group.promotions == []
         assert rig.group.leader is rig.group["u1"]
@@ -156,7 +156,7 @@
         assert (await caller.send("READ a")).ok
         assert (await caller.send("WRITE a 1")).refusal is Refusal.BUSY
         rig.group.unlisted.clear()
-        late.take_members(rig.group.listing())
+        late.update_members(rig.group.listing())
         assert (await caller.send("WRITE a 1")).ok
 
     run(main())
@@ -166,8 +166,8 @@
     async def main():
         rig = Rig()
         gone = replace(rig.group.listing()[0], id="old", name="old", address="old:1")
-        rig.proxy.recall("db", [gone])
-        rig.proxy.keep_running(rig.proxy.tend)
+        rig.proxy.add_recorded_members("db", [gone])
+        rig.proxy.keep_running(rig.proxy.run_maintenance)
         assert rig.proxy.groups["db"].member("old") is not None
         await asyncio.sleep(rig.proxy.tuning.missing_grace + 0.5)
         assert rig.proxy.groups["db"].member("old") is None
@@ -183,7 +183,7 @@
         rig.group["u1"].dark = True
         await asyncio.sleep(3.0)
         assert rig.leases.calls == 0
-        rig.proxy.recall("db", rig.group.listing())
+        rig.proxy.add_recorded_members("db", rig.group.listing())
         await asyncio.sleep(TAKEOVER_LOOK + 2.0)
         assert len(rig.group.promotions) == 1
 
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -50,7 +50,9 @@
         assert (await caller.send("ROLLBACK")).ok
         await asyncio.sleep(0.1)
         assert len(rig.group.acknowledged) == 1
-        assert all(not desk.busy for proxy in rig.owners() for desk in proxy.desks)
+        assert all(
+            not desk.busy for proxy in rig.owners() for desk in proxy.peer_handlers
+        )
 
     run(main())
 
@@ -142,7 +144,7 @@
         rig.links.thaw(owner)
         await asyncio.sleep(0.5)
         assert rig.group.acknowledged == []
-        desks = [desk for proxy in rig.owners() for desk in proxy.desks]
+        desks = [desk for proxy in rig.owners() for desk in proxy.peer_handlers]
         assert all(not desk.held for desk in desks)
         assert (await caller.send("ROLLBACK")).ok
         assert (await caller.send("WRITE a 2")).ok
@@ -186,7 +188,7 @@
         assert (await caller.send("WRITE a 1")).ok
         name = owner_of(caller)
         owner = rig.links.proxies[name]
-        for desk in owner.desks:
+        for desk in owner.peer_handlers:
             desk.tell_leaving()
         await asyncio.sleep(0.01)
         assert other.access("db").owners()[-1] == name
@@ -202,7 +204,7 @@
     async def main():
         rig = await make_rig()
         caller, owner = await open_transaction(rig)
-        for desk in rig.links.proxies[owner].desks:
+        for desk in rig.links.proxies[owner].peer_handlers:
             desk.end_waiting()
         await asyncio.sleep(0.05)
         assert (await caller.send("COMMIT")).refusal is Refusal.ABORTED
@@ -217,7 +219,9 @@
         caller, _ = await open_transaction(rig)
         await rig.others()[0].close_session(caller.session)
         await asyncio.sleep(0.1)
-        assert all(not desk.held for proxy in rig.owners() for desk in proxy.desks)
+        assert all(
+            not desk.held for proxy in rig.owners() for desk in proxy.peer_handlers
+        )
 
     run(main())
 
--- a/tests/sessions/test_return.py
+++ b/tests/sessions/test_return.py
@@ -79,7 +79,7 @@
     await asyncio.sleep(number * START_GAP)
     names = [proxy.name for proxy in rig.proxies]
     proxy = rig.make_proxy(names[number], names, tuning, 1)
-    proxy.keep_running(proxy.tend)
+    proxy.keep_running(proxy.run_maintenance)
     began = rig.loop.time()
     calling = asyncio.create_task(
         calls(rig, proxy, Random(number), RUSH, 2.0, told, WAITING)
@@ -96,7 +96,7 @@
     for member in rig.group.members:
         member.limit = connections
     for proxy in rig.proxies:
-        proxy.keep_running(proxy.tend)
+        proxy.keep_running(proxy.run_maintenance)
     await rig.settle()
     await all_call(rig)
     lose_power(rig)
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -125,7 +125,7 @@
     async def main():
         rig = Rig()
         await rig.settle()
-        rig.proxy.keep_running(rig.proxy.tend)
+        rig.proxy.keep_running(rig.proxy.run_maintenance)
         caller = rig.caller("own")
         await caller.send("BEGIN")
         await caller.send("WRITE a 1")
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -96,11 +96,11 @@
         await rig.settle()
         group = rig.proxy.groups["db"]
         left = PromotionLease(holder="dead", token=3, revision=2)
-        rig.proxy.board.note_first("db", replace(left, settled=True))
+        rig.proxy.lease_view.note_first("db", replace(left, settled=True))
         assert not group.takeover_under_way()
         assert (await rig.caller("own").send("WRITE a 1")).ok
         rig.leases.lease = left
-        rig.proxy.board.note_first("db", left)
+        rig.proxy.lease_view.note_first("db", left)
         assert group.takeover_under_way()
         await asyncio.sleep(1.1)
         assert not group.takeover_under_way()
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -172,7 +172,7 @@
             for member in rig.group.listing()
         ]
         for proxy in rig.proxies:
-            proxy.take_members(leaving)
+            proxy.update_members(leaving)
         await writer
         assert rig.group.leader is not rig.group["u1"]
         check_nothing_lost(rig, told)
@@ -271,9 +271,9 @@
         group = proxy.groups["db"]
         group.take_members([])
         await asyncio.sleep(2.0)
-        proxy.take_members([m for m in rig.group.listing() if m.id != "u1"])
+        proxy.update_members([m for m in rig.group.listing() if m.id != "u1"])
         await asyncio.sleep(1.5)
-        proxy.take_members(rig.group.listing())
+        proxy.update_members(rig.group.listing())
         await asyncio.sleep(1.0)
         assert rig.promoter.orders == []
         assert all(member.paused == 0 for member in rig.group.members)
@@ -361,7 +361,7 @@
         await rig.settle()
         rig.leases.down = True
         listing = rig.group.listing()
-        rig.proxy.take_members(
+        rig.proxy.update_members(
             [replace_leaving(item) if item.id == "u1" else item for item in listing]
         )
         caller = rig.caller("own")
@@ -394,7 +394,7 @@
         rig.group["u1"].crash()
         await asyncio.sleep(5.0)
         late = rig.make_proxy("late", ["late"], rig.proxy.tuning, 1)
-        late.take_members([item for item in old_view if item.id != "u4"])
+        late.update_members([item for item in old_view if item.id != "u4"])
         await asyncio.sleep(4.0)
         assert rig.promoter.orders == []
         assert late.groups["db"].watch.leader == "u4"
--- a/tests/sessions/test_usage.py
+++ b/tests/sessions/test_usage.py
@@ -293,7 +293,7 @@
         home = home_of(rig)
         for proxy in rig.proxies[::2]:
             if proxy.name != home:
-                proxy.drop_daemon(home)
+                proxy.remove_daemon(home)
         load = Load(rig=rig)
         await load.run(20.0, 5.0)
         assert load.refused() == []
