--- a/packages/sessions/gypsum_sessions/callers/access.py
+++ b/packages/sessions/gypsum_sessions/callers/access.py
@@ -54,7 +54,7 @@
         self.group = group
         self.reach = reach
 
-    def elsewhere(self):
+    def remote_access(self):
         """The way over owners that reach the primary; None if we do, or nobody does."""
         helpers = self.reach.helpers()
         if not helpers:
@@ -68,19 +68,19 @@
 
     async def read(self, job):
         """Run a read."""
-        remote = self.elsewhere()
+        remote = self.remote_access()
         reply = await remote.read(job) if remote is not None else None
         return reply or await run_read(self.group, job)
 
     async def write(self, job):
         """Run a write; here if no helper took it, to wait for the next primary."""
-        remote = self.elsewhere()
+        remote = self.remote_access()
         reply = await remote.write(job) if remote is not None else None
         return reply or await run_write(self.group, job)
 
     def begin(self, *, route, writes, arrived):
         """A transaction over our own connections, or those of another owner."""
-        remote = self.elsewhere()
+        remote = self.remote_access()
         if remote is not None:
             return remote.begin(route=route, writes=writes, arrived=arrived)
         return Transaction(
--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -10,46 +10,46 @@
 
 PART = "drain"
 # Pause between two looks, seconds.
-LOOK_EVERY = 0.05
+POLL_INTERVAL = 0.05
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Departure:
+class DrainState:
     """A daemon's way out: its plan, and when it was told to stop."""
 
     plan: DrainPlan
-    began: float
+    started_at: float
     clock: Clock
 
     @property
-    def passed(self):
+    def elapsed(self):
         """Seconds since the daemon was told to stop."""
-        return self.clock() - self.began
+        return self.clock() - self.started_at
 
     @property
-    def answer_by(self):
+    def answer_deadline(self):
         """When everything that runs has to be answered."""
-        return self.began + self.plan.answers
+        return self.started_at + self.plan.answers
 
     @property
     def opens_for(self):
         """Seconds for which transactions of other daemons are still opened."""
-        return max(0.0, self.plan.notice - self.passed)
+        return max(0.0, self.plan.notice - self.elapsed)
 
     @property
-    def closes_sessions(self):
+    def closing_sessions(self):
         """Tell whether a session is closed as soon as it waits for nothing."""
-        return self.passed >= self.plan.sessions
+        return self.elapsed >= self.plan.sessions
 
-    def takes(self, *, opens, last_resort):
+    def accepts(self, *, opens, last_resort):
         """Tell whether new work of another daemon is taken."""
-        return takes_new(self.plan, self.passed, opens=opens, last_resort=last_resort)
+        return takes_new(self.plan, self.elapsed, opens=opens, last_resort=last_resort)
 
 
 async def drain(proxy, plan, stop_listening):
     """Refuse readiness, let work end, close idle sessions, end."""
-    departure = Departure(plan=plan, began=proxy.clock(), clock=proxy.clock)
-    proxy.drain_state = departure
+    drain_state = DrainState(plan=plan, started_at=proxy.clock(), clock=proxy.clock)
+    proxy.drain_state = drain_state
     proxy.log(
         PART, "started", callers=len(proxy.callers), links=len(proxy.peer_handlers)
     )
@@ -57,18 +57,20 @@
         desk.tell_leaving()
     stand_ins = StandIns(proxy=proxy)
     listening = True
-    while departure.passed < plan.total:
+    while drain_state.elapsed < plan.total:
         stand_ins.look()
-        if listening and departure.passed >= plan.listen:
+        if listening and drain_state.elapsed >= plan.listen:
             listening = False
             stop_listening()
-        if departure.passed >= plan.transactions:
-            await end_transactions(proxy)
-        if departure.passed >= plan.notice:
-            close_idle(proxy, share_to_close(plan, departure.passed, LOOK_EVERY))
-        if not listening and not proxy.callers and not owners_work(proxy):
+        if drain_state.elapsed >= plan.transactions:
+            await abort_waiting_transactions(proxy)
+        if drain_state.elapsed >= plan.notice:
+            close_idle_sessions(
+                proxy, share_to_close(plan, drain_state.elapsed, POLL_INTERVAL)
+            )
+        if not listening and not proxy.callers and not serves_peers(proxy):
             break
-        await asyncio.sleep(LOOK_EVERY)
+        await asyncio.sleep(POLL_INTERVAL)
     proxy.log(
         PART,
         "ended",
@@ -77,14 +79,14 @@
     )
 
 
-def close_idle(proxy, share):
+def close_idle_sessions(proxy, share):
     """Close a share of the sessions that wait for nothing, at least one."""
     idle = [caller for caller in proxy.callers if caller.idle]
     for caller in idle[: max(1, round(len(idle) * share))]:
-        caller.leave()
+        caller.close_idle()
 
 
-async def end_transactions(proxy):
+async def abort_waiting_transactions(proxy):
     """Roll back transactions that are open and wait for their callers.
 
     Their connections stay: the caller learns of it from the reply to its next
@@ -101,11 +103,11 @@
                 session=session.number,
                 request=session.last_request,
             )
-            await session.abort_open()
+            await session.abort_transaction()
     for desk in list(proxy.peer_handlers):
         desk.end_waiting()
 
 
-def owners_work(proxy):
+def serves_peers(proxy):
     """Tell whether other daemons' statements are worked on here."""
     return any(desk.busy for desk in proxy.peer_handlers)
--- a/packages/sessions/gypsum_sessions/callers/requestlog.py
+++ b/packages/sessions/gypsum_sessions/callers/requestlog.py
@@ -9,11 +9,11 @@
     def __init__(self, *, proxy):
         self.proxy = proxy
 
-    def answered(self, session, request, statement, job, reply, arrived):
+    def log_answer(self, session, request, statement, job, reply, arrived):
         """Log and measure one answered statement; `job` is None if it ran here."""
         seconds = self.proxy.clock() - arrived
         route = job.route if job is not None else session.route
-        served_by = self.role_of(route.group, job)
+        served_by = self.server_role(route.group, job)
         ran = job.statement if job is not None else statement
         workspace = session.credential.workspace
         self.proxy.observe(route, ran, reply, seconds, served_by, workspace)
@@ -29,18 +29,18 @@
             group=route.group,
             rule=str(route.rule),
             by=str(served_by or ""),
-            **self.judged_by(),
+            **self.config_fields(),
             statement=str(statement.kind),
             ms=round(seconds * 1000, 1),
             **job_fields(job),
             **refusal_fields(reply),
         )
 
-    def not_let_in(self, why, database):
+    def log_rejected(self, event, database):
         """Log why a caller was not let in, and by which configuration."""
-        self.proxy.log(PART, why, database=database, **self.judged_by())
+        self.proxy.log(PART, event, database=database, **self.config_fields())
 
-    def judged_by(self):
+    def config_fields(self):
         """Log fields: the configuration that a request was judged by.
 
         What goes wrong without its age: a refusal by a configuration that has been
@@ -51,7 +51,7 @@
             "version_age_ms": round(self.proxy.catalog_age() * 1000),
         }
 
-    def role_of(self, name, job):
+    def server_role(self, name, job):
         """Whether the leader or a replica answered a job; empty if neither did."""
         if job is None or not job.served_by:
             return ""
--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Prepared:
+class PreparedStatement:
     """What a caller prepared under a name of its own."""
 
     shape: str
@@ -30,13 +30,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Session:
-    """A session; `catalog` and `groups` are the daemon's, shared by all sessions.
-
-    `own_floor` is the position of the session's last commit. `last_active` is when
-    the last statement ended, `last_request` its id. `abort_untold`: we ended the
-    transaction and the caller has not heard of it. `leftovers` end when reads end that
-    still run after their reply, here or at an owner. `digest` is of the key that the
-    caller showed, `withdrawn` says that it counts no more.
+    """A caller's session: its values, prepared statements, transaction and floor.
+
+    `digest` is that of the caller's key; `withdrawn` is set once the key is no longer
+    valid. `own_floor` is the position of the session's last commit. `last_active` is
+    the time at which the last statement ended, `last_request` its id.
+    `abort_unreported` is set while the caller has yet to be told that the proxy rolled
+    its transaction back. `running_attempts` are tasks that end when reads end that are
+    still running after their reply, on this daemon or on an owner.
     """
 
     number: int
@@ -47,15 +48,15 @@
     credential: Credential = NOBODY
     withdrawn: bool = False
     values: dict[str, str] = field(default_factory=dict)
-    prepared: dict[str, Prepared] = field(default_factory=dict)
+    prepared: dict[str, PreparedStatement] = field(default_factory=dict)
     state: SessionState = SessionState.IDLE
     tx: OpenTransaction | None = None
     own_floor: Position | None = None
     last_active: float = 0.0
     last_request: str = ""
-    abort_untold: bool = False
+    abort_unreported: bool = False
     running: bool = False
-    leftovers: set = field(default_factory=set)
+    running_attempts: set = field(default_factory=set)
 
     async def run(self, request, statement):
         """Run one statement; returns the whole reply for the caller."""
@@ -66,24 +67,24 @@
         job = None
         try:
             if self.state is SessionState.FAILED:
-                reply = await self.run_failed(statement)
-            elif not self.let_in():
-                reply = await self.run_withdrawn()
+                reply = await self.run_in_failed_transaction(statement)
+            elif not self.renew_credential():
+                reply = await self.refuse_withdrawn()
             elif statement.kind in RUN_AT_UPSTREAM:
-                job, reply = await self.run_there(request, statement, arrived)
+                job, reply = await self.run_at_upstream(request, statement, arrived)
             elif statement.kind is StatementKind.COMMIT:
                 job, reply = await self.commit(request, statement, arrived)
             else:
-                reply = await self.run_here(request, statement, arrived)
+                reply = await self.run_locally(request, statement, arrived)
         finally:
             self.running = False
             self.last_active = clock()
-        self.proxy.requests.answered(self, request, statement, job, reply, arrived)
+        self.proxy.request_log.log_answer(self, request, statement, job, reply, arrived)
         return reply
 
     # The caller's key
 
-    def let_in(self):
+    def renew_credential(self):
         """Tell whether the caller's key still counts, under the version in force."""
         if self.withdrawn:
             return False
@@ -93,14 +94,14 @@
         self.credential = renewed or self.credential
         return not self.withdrawn
 
-    async def run_withdrawn(self):
+    async def refuse_withdrawn(self):
         """Refuse a statement of a caller whose key counts no more; it has not run."""
         if self.tx is None:
             return self.refuse(Refusal.UNKNOWN_KEY, f"not run, {KEY_WITHDRAWN}")
         await self.end_transaction()
         return self.refuse(Refusal.ABORTED, f"rolled back, {KEY_WITHDRAWN}")
 
-    async def over_cap(self, request):
+    async def check_cap(self, request):
         """The refusal of an operation beyond the workspace's cap; None if it may run.
 
         Asked once for an operation, before it waits for anything else.
@@ -118,7 +119,7 @@
 
     # Statements that the proxy answers itself
 
-    async def run_here(self, request, statement, arrived):
+    async def run_locally(self, request, statement, arrived):
         """BEGIN, ROLLBACK and what belongs to the session alone."""
         match statement.kind:
             case StatementKind.BEGIN:
@@ -126,13 +127,13 @@
             case StatementKind.ROLLBACK:
                 return await self.roll_back()
             case StatementKind.SET:
-                if not await self.reads_ended():
+                if not await self.wait_running_attempts():
                     return self.refuse(Refusal.BUSY, "not run, a read still runs")
                 self.values[statement.name] = statement.argument
                 if self.tx is not None:
                     self.tx.values_set = True
             case StatementKind.PREPARE:
-                self.prepared[statement.name] = Prepared(
+                self.prepared[statement.name] = PreparedStatement(
                     shape=statement.shape, writes=statement.writes
                 )
             case StatementKind.DEALLOCATE:
@@ -142,18 +143,18 @@
                 return self.refuse(Refusal.MALFORMED, "not a caller's statement")
         return Reply(state=self.state)
 
-    async def reads_ended(self):
+    async def wait_running_attempts(self):
         """Wait for reads of this session that still run somewhere after their reply.
 
         Tell whether none does any more. What goes wrong without it: a slow upstream
         runs one after the session's values have changed, with the old ones; also one
         whose connection was closed, for it had received it before.
         """
-        running = {task for task in self.leftovers if not task.done()}
+        running = {task for task in self.running_attempts if not task.done()}
         if running:
-            patience = self.proxy.tuning.pending_read_wait
-            _, running = await asyncio.wait(running, timeout=patience)
-        self.leftovers = running
+            timeout = self.proxy.tuning.running_attempt_wait
+            _, running = await asyncio.wait(running, timeout=timeout)
+        self.running_attempts = running
         return not running
 
     async def begin(self, request, statement, arrived):
@@ -166,7 +167,7 @@
         access = self.proxy.access(route.group)
         if access is None:
             return self.refuse(Refusal.BUSY, "not run, the group is not known yet")
-        over_cap = await self.over_cap(request)
+        over_cap = await self.check_cap(request)
         if over_cap is not None:
             return over_cap
         self.tx = access.begin(route=route, writes=statement.writes, arrived=arrived)
@@ -180,11 +181,11 @@
         await self.end_transaction()
         return Reply(state=self.state)
 
-    async def run_failed(self, statement):
+    async def run_in_failed_transaction(self, statement):
         """In a failed transaction only its end is accepted."""
         if statement.kind not in (StatementKind.ROLLBACK, StatementKind.COMMIT):
-            if self.abort_untold:
-                self.abort_untold = False
+            if self.abort_unreported:
+                self.abort_unreported = False
                 return self.refuse(Refusal.ABORTED, "the transaction was rolled back")
             return self.refuse(Refusal.MALFORMED, "the transaction has failed")
         await self.end_transaction()
@@ -194,7 +195,7 @@
 
     # Statements that upstreams run
 
-    async def run_there(self, request, statement, arrived):
+    async def run_at_upstream(self, request, statement, arrived):
         """Run a statement at an upstream: (job, reply), the job None without one."""
         route = self.tx.route if self.tx else self.current_route()
         if route is None:
@@ -232,11 +233,11 @@
     async def run_job(self, job):
         """Run a job in the open transaction or on its own."""
         if self.tx is not None:
-            return await self.run_inside(job)
+            return await self.run_in_transaction(job)
         access = self.proxy.access(job.route.group)
         if access is None:
             return self.refuse(Refusal.BUSY, "not run, the group is not known yet")
-        over_cap = await self.over_cap(job.request)
+        over_cap = await self.check_cap(job.request)
         if over_cap is not None:
             return over_cap
         if job.statement.writes:
@@ -244,18 +245,18 @@
             if reply.ok:
                 self.own_floor = later(self.own_floor, reply.position)
             self.note_withdrawn(reply)
-            return self.outside(reply)
+            return self.idle_reply(reply)
         reply = await access.read(job)
-        still_running = self.leftovers | job.leftovers
-        self.leftovers = {task for task in still_running if not task.done()}
+        still_running = self.running_attempts | job.leftovers
+        self.running_attempts = {task for task in still_running if not task.done()}
         self.note_withdrawn(reply)
-        return self.outside(reply)
+        return self.idle_reply(reply)
 
     def note_withdrawn(self, reply):
         """An owner that knows a newer configuration may have refused the key."""
         self.withdrawn = self.withdrawn or reply.refusal is Refusal.UNKNOWN_KEY
 
-    async def run_inside(self, job):
+    async def run_in_transaction(self, job):
         """Run a job inside the open transaction."""
         reply = await self.tx.run(job)
         if not reply.ok:
@@ -273,7 +274,7 @@
         reply = await tx.commit(job)
         if reply.ok and tx.wrote:
             self.own_floor = later(self.own_floor, reply.position)
-        return job, self.outside(reply)
+        return job, self.idle_reply(reply)
 
     # Ends
 
@@ -281,18 +282,18 @@
         """Roll back what is open."""
         tx, self.tx = self.tx, None
         self.state = SessionState.IDLE
-        self.abort_untold = False
+        self.abort_unreported = False
         if tx is not None:
             await tx.close()
 
-    async def abort_open(self):
+    async def abort_transaction(self):
         """End an open transaction from our side; the caller learns of it later."""
         if self.tx is None or self.state is SessionState.FAILED:
             return
         # Before anything is awaited: a statement that arrives meanwhile would find
         # the transaction without a connection and open it anew.
         self.state = SessionState.FAILED
-        self.abort_untold = True
+        self.abort_unreported = True
         await self.tx.close()
 
     # Small things
@@ -305,7 +306,7 @@
         """A refusal by the proxy itself."""
         return Reply(refusal=refusal, detail=detail, state=self.state)
 
-    def outside(self, reply):
+    def idle_reply(self, reply):
         """A reply outside transactions, whatever the upstream's connection is in."""
         return with_state(reply, SessionState.IDLE)
 
--- a/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
+++ b/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
@@ -204,8 +204,10 @@
             return ""
         if ask.if_led and not group.watch.leader:
             return "no primary is proven here"
-        departure, opens = self.proxy.drain_state, bool(ask.transaction)
-        if departure and not departure.takes(opens=opens, last_resort=ask.last_resort):
+        drain_state, opens = self.proxy.drain_state, bool(ask.transaction)
+        if drain_state and not drain_state.accepts(
+            opens=opens, last_resort=ask.last_resort
+        ):
             return "this daemon leaves"
         if ask.last_resort:
             return ""
@@ -291,8 +293,8 @@
 
     def tell_leaving(self):
         """Ask the other daemon to send new work elsewhere."""
-        departure = self.proxy.drain_state
-        opens_for = departure.opens_for if departure else 0.0
+        drain_state = self.proxy.drain_state
+        opens_for = drain_state.opens_for if drain_state else 0.0
         if not self.closed:
             self.frames.send(encode(Leaving(opens_for=opens_for)))
 
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -115,7 +115,7 @@
         self.feed_follower = Following(
             daemons=self.daemons, peers=self.peers, clock=clock, log=log
         )
-        self.requests = RequestLog(proxy=self)
+        self.request_log = RequestLog(proxy=self)
         self.usage = Usage(
             daemons=self.daemons,
             peers=self.peers,
@@ -184,7 +184,7 @@
         """
         for caller in list(self.callers):
             session = caller.session
-            if session is None or session.withdrawn or session.let_in():
+            if session is None or session.withdrawn or session.renew_credential():
                 continue
             self.log(
                 PART,
@@ -194,9 +194,9 @@
                 version=self.catalog.version,
             )
             if caller.idle:
-                caller.leave()
+                caller.close_idle()
             elif not session.running:
-                self.spawn(session.abort_open())
+                self.spawn(session.abort_transaction())
 
     def access(self, name):
         """The way to a group, or None if it is not known yet."""
@@ -327,7 +327,8 @@
         What goes wrong without it: a statement that came before the end of a daemon's
         grace still runs when the process ends, and its connection is cut.
         """
-        return min(wanted, self.drain_state.answer_by) if self.drain_state else wanted
+        drain_state = self.drain_state
+        return min(wanted, drain_state.answer_deadline) if drain_state else wanted
 
     # Other daemons' statements
 
@@ -449,7 +450,7 @@
                 continue
             if session.last_active < limit:
                 self.log(PART, "idle transaction ended", session=session.number)
-                await session.abort_open()
+                await session.abort_transaction()
 
     def stop(self):
         """Cancel all tasks and close all connections."""
--- a/packages/sessions/gypsum_sessions/tuning.py
+++ b/packages/sessions/gypsum_sessions/tuning.py
@@ -74,7 +74,7 @@
     hedge_min_delay: float = 0.25
     # A read that is not needed any more is waited for this long before the session's
     # values change: most routes give a statement a second. They do not change then.
-    pending_read_wait: float = 1.0
+    running_attempt_wait: float = 1.0
     # Floors older than the longest allowed age are of no use to anyone.
     floor_retention: float = 30.0
     # Share of a request's allowed time that it may wait for a leader: the rest is
--- a/tests/sessions/connected.py
+++ b/tests/sessions/connected.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from gypsum_sessions.callers.caller import Caller
+from gypsum_sessions.callers.caller import CallerConnection
 from gypsum_sessions.callers.keys import digest_of
 
 
-class FakeLink:
+class FakeCallerTransport:
     """A caller's end of the connection; keeps what it gets."""
 
     def __init__(self):
@@ -28,7 +28,7 @@
         """The session is refused."""
         self.final = refusal
 
-    async def drained(self):
+    async def wait_writable(self):
         """Nothing is ever waited for."""
 
     def close(self):
@@ -39,10 +39,10 @@
 
 async def connect(proxy, database="own", key=""):
     """A caller with an open session at a daemon, and its end of the connection."""
-    link = FakeLink()
-    caller = Caller(proxy=proxy, link=link)
+    transport = FakeCallerTransport()
+    caller = CallerConnection(proxy=proxy, transport=transport)
     caller.start()
-    caller.opening(database, digest_of(key.encode()))
+    caller.on_startup(database, digest_of(key.encode()))
     await asyncio.sleep(0.01)
-    assert link.greeted
-    return caller, link
+    assert transport.greeted
+    return caller, transport
--- a/tests/sessions/test_drain.py
+++ b/tests/sessions/test_drain.py
@@ -37,7 +37,7 @@
         await asyncio.sleep(1.0)
         assert not rig.proxy.ready
         caller, link = await connect(rig.proxy)
-        caller.statement("r1", read_statement("WRITE a 1"))
+        caller.on_statement("r1", read_statement("WRITE a 1"))
         await task
         assert link.replies[0].ok
         assert 3.0 < stopped[0] < 3.6
@@ -51,10 +51,10 @@
         await rig.settle()
         caller, link = await connect(rig.proxy)
         task = asyncio.create_task(drain(rig.proxy, plan_for(6.0), lambda: None))
-        caller.statement("r1", read_statement("BEGIN"))
-        caller.statement("r2", read_statement("WRITE a 1"))
+        caller.on_statement("r1", read_statement("BEGIN"))
+        caller.on_statement("r2", read_statement("WRITE a 1"))
         await asyncio.sleep(2.9)
-        caller.statement("r3", read_statement("COMMIT"))
+        caller.on_statement("r3", read_statement("COMMIT"))
         await task
         assert [reply.ok for reply in link.replies] == [True, True, True]
         assert rig.group.commits == 1
@@ -73,13 +73,13 @@
         rig = Rig()
         await rig.settle()
         caller, link = await connect(rig.proxy)
-        caller.statement("r1", read_statement("BEGIN"))
-        caller.statement("r2", read_statement("WRITE a 1"))
+        caller.on_statement("r1", read_statement("BEGIN"))
+        caller.on_statement("r2", read_statement("WRITE a 1"))
         await asyncio.sleep(0.1)
         task = asyncio.create_task(drain(rig.proxy, plan_for(6.0), lambda: None))
         await asyncio.sleep(4.8)
-        caller.statement("r3", read_statement("WRITE b 2"))
-        caller.statement("r4", read_statement("ROLLBACK"))
+        caller.on_statement("r3", read_statement("WRITE b 2"))
+        caller.on_statement("r4", read_statement("ROLLBACK"))
         await task
         assert link.replies[2].refusal is Refusal.ABORTED
         assert link.replies[3].state is SessionState.IDLE
@@ -103,7 +103,7 @@
         await caller.send("BEGIN")
         await caller.send("WRITE a 1")
         runs = rig.group["u1"].runs
-        ending = asyncio.create_task(caller.session.abort_open())
+        ending = asyncio.create_task(caller.session.abort_transaction())
         await asyncio.sleep(0)
         reply = await caller.send("WRITE b 2")
         await ending
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -245,14 +245,14 @@
     async def main():
         rig = await make_rig()
         caller, link = await connect(rig.others()[0])
-        caller.statement("r1", read_statement("BEGIN"))
-        caller.statement("r2", read_statement("WRITE a 1"))
+        caller.on_statement("r1", read_statement("BEGIN"))
+        caller.on_statement("r2", read_statement("WRITE a 1"))
         await asyncio.sleep(0.1)
         draining = start_drain(rig.others()[0])
         await asyncio.sleep(GRACE / 3)
-        caller.statement("r3", read_statement("READ a"))
+        caller.on_statement("r3", read_statement("READ a"))
         await asyncio.sleep(GRACE / 3)
-        caller.statement("r4", read_statement("COMMIT"))
+        caller.on_statement("r4", read_statement("COMMIT"))
         await draining
         assert [reply.ok for reply in link.replies] == [True, True, True, True]
         assert len(rig.group.acknowledged) == 1
@@ -271,14 +271,14 @@
     async def main():
         rig = await make_rig(daemons=1, max_connections=34)
         caller, link = await connect(rig.proxy)
-        caller.statement("r1", read_statement("BEGIN"))
-        caller.statement("r2", read_statement("READ a"))
+        caller.on_statement("r1", read_statement("BEGIN"))
+        caller.on_statement("r2", read_statement("READ a"))
         await asyncio.sleep(0.1)
         draining = start_drain(rig.proxy)
         await asyncio.sleep(GRACE * 0.74)
         for member in rig.group.members:
             member.dark = True
-        caller.statement("r3", read_statement("READ a"))
+        caller.on_statement("r3", read_statement("READ a"))
         await draining
         assert len(link.replies) == 3
         assert link.replies[2].refusal is Refusal.ABORTED
--- a/tests/sessions/test_workspaces.py
+++ b/tests/sessions/test_workspaces.py
@@ -157,10 +157,10 @@
     async def main():
         rig = await keyed_rig()
         caller, link = await connect(rig.proxy, key="n1")
-        caller.statement("1", read_statement("READ a"))
+        caller.on_statement("1", read_statement("READ a"))
         await asyncio.sleep(0.005)
         withdraw(rig)
-        caller.statement("2", read_statement("READ a"))
+        caller.on_statement("2", read_statement("READ a"))
         await asyncio.sleep(0.5)
         assert [reply.refusal for reply in link.replies] == [None, Refusal.UNKNOWN_KEY]
         assert link.closed_at is not None
