--- a/packages/sessions/gypsum_sessions/catalog.py
+++ b/packages/sessions/gypsum_sessions/catalog.py
@@ -63,8 +63,8 @@
 class CatalogVersion:
     """One version of the whole configuration.
 
-    `workspaces` are by name, None where callers need no key. `holders` maps the digest
-    of each key to the name of its workspace.
+    `workspaces` are by name, None where callers need no key. `key_workspaces` maps the
+    digest of each key to the name of its workspace.
     """
 
     version: int
@@ -72,9 +72,9 @@
     groups: dict[str, GroupSpec]
     transaction_idle: float
     workspaces: dict[str, Workspace] | None = None
-    holders: dict[str, str] = field(default_factory=dict)
+    key_workspaces: dict[str, str] = field(default_factory=dict)
 
-    def asks_key(self, route):
+    def requires_key(self, route):
         """Tell whether callers of a route have to show a key."""
         return self.workspaces is not None and not route.public
 
@@ -84,7 +84,7 @@
     """The version in force; it only ever rises while the process runs."""
 
     current: CatalogVersion | None = None
-    rejected: int = field(default=0)
+    rejected_offers: int = field(default=0)
 
     @property
     def version(self):
@@ -98,7 +98,7 @@
         that was cut off, brings back routes that the operator has removed.
         """
         if candidate.version <= self.version:
-            self.rejected += 1
+            self.rejected_offers += 1
             return False
         self.current = candidate
         return True
@@ -107,12 +107,12 @@
         """The route of a database name, or None."""
         return self.current.routes.get(database) if self.current else None
 
-    def admit(self, route, digest):
+    def authenticate(self, route, digest):
         """The credential of a caller that shows a key; None if it is not let in."""
         current = self.current
-        if not current.asks_key(route):
+        if not current.requires_key(route):
             return NOBODY
-        holder = current.holders.get(digest)
+        holder = current.key_workspaces.get(digest)
         if holder is None:
             return None
         return Credential(workspace=holder, digest=digest, version=current.version)
@@ -123,9 +123,11 @@
         found = known.get(workspace)
         return found.cap if found is not None else None
 
-    def stands(self, credential):
+    def is_valid(self, credential):
         """Tell whether a caller that was let in may go on."""
-        holder = self.current.holders.get(credential.digest) if self.current else None
+        holder = (
+            self.current.key_workspaces.get(credential.digest) if self.current else None
+        )
         return stands(credential, version=self.version, holder=holder)
 
     def renew(self, credential, route, digest):
@@ -136,7 +138,7 @@
         """
         if credential.version == self.version:
             return credential
-        fresh = self.admit(route, digest)
+        fresh = self.authenticate(route, digest)
         if fresh is None or fresh.workspace != credential.workspace:
             return None
         return fresh
--- a/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
+++ b/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
@@ -146,7 +146,7 @@
         if unable:
             self.answer(Answer(call=ask.call, reply=refused(unable), unable=True))
             return
-        if not self.proxy.catalog.stands(ask.credential):
+        if not self.proxy.catalog.is_valid(ask.credential):
             reply = await self.refuse_withdrawn(ask)
             self.answer(Answer(call=ask.call, reply=reply))
             return
--- a/packages/sessions/gypsum_sessions/events.py
+++ b/packages/sessions/gypsum_sessions/events.py
@@ -90,14 +90,14 @@
         second = int(self.clock())
         if second != self.second:
             self.second, self.lines = second, 0
-            self.tell_dropped()
+            self.report_dropped()
         self.lines += 1
         if self.lines > self.lines_per_second:
             self.dropped += 1
             return
         self.emit(part, event, fields)
 
-    def tell_dropped(self):
+    def report_dropped(self):
         """Say how many lines were dropped since the last time."""
         if self.dropped:
             self.emit("log", "lines dropped", {"lines": self.dropped})
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from gypsum_sessions.replies import Refusal, UpstreamError
-from gypsum_sessions.statements import BEGIN_READING, ROLLBACK, STATUS
+from gypsum_sessions.statements import BEGIN_READ_ONLY, ROLLBACK, STATUS
 from gypsum_sessions.upstreams.upstream import is_ours
 
 PART = "confirm"
@@ -213,7 +213,7 @@
 
 async def ask_applied(item, conn, position, tuning):
     """Whether a replica has applied a position."""
-    begun = await conn.ask(BEGIN_READING, timeout=tuning.ping_timeout, after=position)
+    begun = await conn.ask(BEGIN_READ_ONLY, timeout=tuning.ping_timeout, after=position)
     if begun.ok:
         await conn.ask(ROLLBACK, timeout=tuning.ping_timeout)
         return Evidence.HELD
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -193,7 +193,7 @@
         async with turn:
             if job.over:
                 return Attempt(upstream=item.id, reply=None, detail="answered before")
-            if not group.around.catalog.stands(job.credential):
+            if not group.around.catalog.is_valid(job.credential):
                 return Attempt(upstream=item.id, reply=withdrawn())
             return await attempt_now(group, job, item)
     except Hopeless as exc:
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -28,7 +28,7 @@
     UpstreamError,
     UpstreamLost,
 )
-from gypsum_sessions.statements import BEGIN_READING, BEGIN_WRITING
+from gypsum_sessions.statements import BEGIN_READ_ONLY, BEGIN_READ_WRITE
 from gypsum_sessions.upstreams.group import Group
 from gypsum_sessions.upstreams.pool import ConnPool
 from gypsum_sessions.upstreams.pooled import PooledConn, roll_back
@@ -102,7 +102,7 @@
         patience = wait_until - clock()
         if not await can_confirm(group, item.id, patience=patience):
             return unconfirmable(around.tuning)
-        if await begin_at(group, tx, job, item, BEGIN_WRITING):
+        if await begin_at(group, tx, job, item, BEGIN_READ_WRITE):
             return None
         group.watch.doubt(item.id)
         await asyncio.sleep(BUSY_PAUSE)
@@ -117,7 +117,7 @@
         item = group.upstreams.get(upstream)
         if item is None:
             continue
-        if await begin_at(group, tx, job, item, BEGIN_READING, after=job.floor):
+        if await begin_at(group, tx, job, item, BEGIN_READ_ONLY, after=job.floor):
             return None
     return Reply(
         refusal=Refusal.LAGGING,
@@ -134,7 +134,7 @@
     """
     job.tried.append(item.id)
     async with item.turns.enter(job.claim()):
-        if not group.around.catalog.stands(job.credential):
+        if not group.around.catalog.is_valid(job.credential):
             raise Withdrawn
         return await begin_now(group, tx, job, item, statement, after)
 
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -11,7 +11,7 @@
     Reply,
     UpstreamError,
     UpstreamLost,
-    UpstreamSilent,
+    UpstreamTimeout,
 )
 from gypsum_sessions.statements import ROLLBACK
 from gypsum_sessions.upstreams.pooled import bring_level
@@ -40,7 +40,7 @@
         job.tried.append(item.id)
         try:
             async with item.turns.enter(job.claim()):
-                if not around.catalog.stands(job.credential):
+                if not around.catalog.is_valid(job.credential):
                     return withdrawn()
                 reply = await try_write(group, job, item)
         except Hopeless as exc:
@@ -123,7 +123,7 @@
     if isinstance(exc, UpstreamLost) and not exc.sent:
         raise NotSent(str(exc)) from exc
     item.failed(exc, group.around.clock(), group.around.tuning)
-    silent = isinstance(exc, UpstreamSilent)
+    silent = isinstance(exc, UpstreamTimeout)
     group.around.log(
         PART, "in doubt", request=job.request, upstream=item.id, error=str(exc)
     )
--- a/packages/sessions/gypsum_sessions/interfaces.py
+++ b/packages/sessions/gypsum_sessions/interfaces.py
@@ -34,7 +34,7 @@
         request: str = "",
         after: Position | None = None,
     ) -> Reply:
-        """Run a statement; raises UpstreamLost or UpstreamSilent.
+        """Run a statement; raises UpstreamLost or UpstreamTimeout.
 
         `request` is the caller's id, empty for the proxy's own statements. With
         `after`, an upstream whose log lacks that position refuses.
@@ -64,7 +64,7 @@
     """Who may promote in a group: `token` rises with each take-over.
 
     `settled` says that no order under this token, or a lower one, can have an effect
-    any more. `chain_began` is the store's revision of the first lease after the last
+    any more. `chain_start` is the store's revision of the first lease after the last
     settled one, 0 if that is this lease.
     """
 
@@ -72,17 +72,17 @@
     token: int
     revision: int
     settled: bool = False
-    chain_began: int = 0
+    chain_start: int = 0
 
     @property
-    def began(self):
+    def takeover_start(self):
         """The store's revision since which takeovers may be under way."""
-        return self.chain_began or self.revision
+        return self.chain_start or self.revision
 
     @property
-    def next_chain(self):
-        """The `chain_began` of a lease that is taken after this one."""
-        return 0 if self.settled or not self.token else self.began
+    def next_chain_start(self):
+        """The `chain_start` of a lease that is taken after this one."""
+        return 0 if self.settled or not self.token else self.takeover_start
 
 
 class LeaseError(Exception):
@@ -103,7 +103,7 @@
     async def read_all(self) -> tuple[dict[str, PromotionLease], int]:
         """All leases by group, and the store's revision at which they stood so."""
 
-    async def take(
+    async def acquire(
         self, group: str, holder: str, seen: PromotionLease
     ) -> PromotionLease | None:
         """Take over with a higher token if the lease is still at `seen.revision`.
--- a/packages/sessions/gypsum_sessions/metrics.py
+++ b/packages/sessions/gypsum_sessions/metrics.py
@@ -8,9 +8,9 @@
 
 # Workspaces with series of their own; all further ones share one. What goes wrong
 # without a bound: a scrape of thousands of histograms holds up the statements.
-MOST_WORKSPACES = 100
-OTHERS = "others"
-SECONDS = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0]
+MAX_NAMED_WORKSPACES = 100
+OTHER_WORKSPACES = "others"
+LATENCY_BUCKETS = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0]
 
 
 class SessionMetrics:
@@ -24,7 +24,7 @@
         self.seconds = Histogram(
             "gypsum_statement_seconds",
             "Time to answer a statement, by database, read rule and statement.",
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
         self.refusals = Counter(
@@ -38,11 +38,11 @@
             registry=self.registry,
         )
         # Workspaces with series of their own.
-        self.named = set()
+        self.named_workspaces = set()
         self.by_workspace = Histogram(
             "gypsum_workspace_seconds",
             "Time to answer a statement, by workspace, read rule and outcome.",
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
         self.usage = Gauge(
@@ -96,20 +96,20 @@
         """Count one statement of a workspace, where callers show keys."""
         if not workspace:
             return
-        if len(self.named) < MOST_WORKSPACES:
-            self.named.add(workspace)
-        name = workspace if workspace in self.named else OTHERS
+        if len(self.named_workspaces) < MAX_NAMED_WORKSPACES:
+            self.named_workspaces.add(workspace)
+        name = workspace if workspace in self.named_workspaces else OTHER_WORKSPACES
         outcome = str(reply.refusal or "ok")
         labels = {"workspace": name, "rule": str(route.rule), "outcome": outcome}
         self.by_workspace.observe(labels, seconds)
 
-    def take(self, proxy, dropped_lines):
+    def collect(self, proxy, dropped_lines):
         """Refresh the gauges."""
         self.state.set({"what": "open"}, len(proxy.sessions))
         self.state.set({"what": "configuration"}, proxy.catalog.version)
         self.state.set({"what": "lines_dropped"}, dropped_lines)
         self.drain_rollbacks.set({}, proxy.drain_rollbacks)
-        self.take_usage(proxy.usage)
+        self.collect_usage(proxy.usage)
         for name, feed in proxy.feed_follower.feeds.items():
             vouched = number_of(feed.state.revision) if feed.state else -1
             self.feeds.set({"feed": name, "what": "era"}, era_of(feed.known))
@@ -127,11 +127,11 @@
                 self.upstreams.set({**labels, "what": "displaced"}, displaced)
                 self.upstreams.set({**labels, "what": "mean_seconds"}, item.mean)
 
-    def take_usage(self, usage):
+    def collect_usage(self, usage):
         """Refresh what became of the operations of workspaces that have a cap."""
         totals = {}
         for workspace, tally in usage.tallies.items():
-            name = workspace if workspace in self.named else OTHERS
+            name = workspace if workspace in self.named_workspaces else OTHER_WORKSPACES
             total = totals.setdefault(name, Tally())
             total.granted += tally.granted
             total.refused += tally.refused
@@ -139,11 +139,11 @@
             self.usage.set({"workspace": name, "what": "granted"}, total.granted)
             self.usage.set({"workspace": name, "what": "refused"}, total.refused)
 
-    def take_era(self, era):
+    def set_store_era(self, era):
         """Refresh the era of the store's history."""
         self.store_era.set({}, era)
 
-    def take_calls(self, calls):
+    def set_store_calls(self, calls):
         """Refresh the calls to the store: numbers by step and kind."""
         for (step, kind), number in calls.items():
             self.store_calls.set({"step": step, "kind": kind}, number)
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -300,7 +300,7 @@
         `digest` stands for the key that the caller shows.
         """
         route = self.catalog.route(database)
-        credential = self.catalog.admit(route, digest) if route else None
+        credential = self.catalog.authenticate(route, digest) if route else None
         if credential is None:
             return None
         self.last_session_number += 1
--- a/packages/sessions/gypsum_sessions/replies.py
+++ b/packages/sessions/gypsum_sessions/replies.py
@@ -76,14 +76,14 @@
 class UpstreamStatus:
     """What an upstream says of itself.
 
-    `held_term` is the term that replication is paused for, 0 when it is not;
+    `paused_term` is the term that replication is paused for, 0 when it is not;
     `received` the end of its log, whether applied yet or not.
     """
 
     leads: bool
     term: int
     received: Position
-    held_term: int
+    paused_term: int
     lag_ms: float
 
 
@@ -107,11 +107,11 @@
         self.sent = sent
 
 
-class UpstreamSilent(UpstreamError):
+class UpstreamTimeout(UpstreamError):
     """No answer came in time; the statement may have run or may run later."""
 
 
-class NoFreeConnection(UpstreamSilent):
+class NoFreeConnection(UpstreamTimeout):
     """All of our own connections to an upstream stayed in use; nothing was sent."""
 
 
--- a/packages/sessions/gypsum_sessions/statements.py
+++ b/packages/sessions/gypsum_sessions/statements.py
@@ -54,8 +54,8 @@
         return shows and not self.writes
 
 
-BEGIN_WRITING = Statement(kind=StatementKind.BEGIN, writes=True)
-BEGIN_READING = Statement(kind=StatementKind.BEGIN)
+BEGIN_READ_WRITE = Statement(kind=StatementKind.BEGIN, writes=True)
+BEGIN_READ_ONLY = Statement(kind=StatementKind.BEGIN)
 ROLLBACK = Statement(kind=StatementKind.ROLLBACK)
 RESET = Statement(kind=StatementKind.RESET)
 STATUS = Statement(kind=StatementKind.STATUS)
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -150,8 +150,8 @@
             *(self.control.status_of(item) for item in replicas)
         )
         for item, status in zip(replicas, statuses, strict=True):
-            if status is not None and status.held_term:
-                self.control.paused[item.id] = status.held_term
+            if status is not None and status.paused_term:
+                self.control.paused[item.id] = status.paused_term
         self.lease = None
         await self.resume_all()
 
@@ -210,9 +210,9 @@
             self.group.stall.forget()
             return False
         held = {
-            item.id: status.held_term
+            item.id: status.paused_term
             for item, status in zip(replicas, statuses, strict=True)
-            if status is not None and status.held_term
+            if status is not None and status.paused_term
         }
         if held:
             await self.found_paused(held)
@@ -246,7 +246,7 @@
             self.log("left to its holder", reason=reason, holder=seen.holder)
             self.rest_until = self.around.clock() + tuning.lease_retry_delay
             return False
-        lease = await self.leases.take(name, self.daemon, seen)
+        lease = await self.leases.acquire(name, self.daemon, seen)
         if lease is None:
             self.log("lease taken by another", reason=reason)
             self.rest_until = self.around.clock() + tuning.lease_retry_delay
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -16,7 +16,7 @@
     UpstreamLost,
     UpstreamRefused,
 )
-from gypsum_sessions.statements import BEGIN_WRITING, ROLLBACK
+from gypsum_sessions.statements import BEGIN_READ_WRITE, ROLLBACK
 
 PART = "leader"
 # How often those who wait for a leader look whether it is worth it, seconds.
@@ -26,10 +26,10 @@
 async def prove_leads(conn, *, timeout):
     """Ask an upstream to prove that it leads; its position, or None if it refuses.
 
-    Raises UpstreamLost or UpstreamSilent, and UpstreamBusy if it could not look.
+    Raises UpstreamLost or UpstreamTimeout, and UpstreamBusy if it could not look.
     """
     begun, ended = await asyncio.gather(
-        conn.ask(BEGIN_WRITING, timeout=timeout),
+        conn.ask(BEGIN_READ_WRITE, timeout=timeout),
         conn.ask(ROLLBACK, timeout=timeout),
         return_exceptions=True,
     )
--- a/packages/sessions/gypsum_sessions/takeover/leaseboard.py
+++ b/packages/sessions/gypsum_sessions/takeover/leaseboard.py
@@ -69,7 +69,7 @@
         if known is None or known.lease.token <= seen.token:
             return seen
         lost = known.lease
-        return replace(lost, revision=seen.revision, chain_began=lost.began)
+        return replace(lost, revision=seen.revision, chain_start=lost.takeover_start)
 
     def token(self, group):
         """The newest token known, 0 if there is none."""
@@ -94,7 +94,7 @@
         over after some time: its holder died, an order of it is carried out ten seconds
         late, and cuts off what was acknowledged through a member that it did not know.
         """
-        if self.unsettled(group) and joined >= self.seen[group].lease.began:
+        if self.unsettled(group) and joined >= self.seen[group].lease.takeover_start:
             return False
         return joined <= self.known_to
 
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -83,7 +83,7 @@
             Paused(
                 upstream=item.id,
                 leaving=not item.member.stays,
-                held_before=before.held_term > 0,
+                held_before=before.paused_term > 0,
                 status=paused[item.id],
             )
             for item, before in zip(others, statuses, strict=True)
@@ -124,7 +124,7 @@
         answers = await asyncio.gather(*(self.command(item, command) for item in items))
         for item in items:
             self.paused[item.id] = term
-        if any(status is None or status.held_term < term for status in answers):
+        if any(status is None or status.paused_term < term for status in answers):
             self.log("not all members paused", term=term, answers=str(answers))
             return None
         return {item.id: status for item, status in zip(items, answers, strict=True)}
@@ -136,7 +136,7 @@
         while self.around.clock() < until:
             item = self.group.upstreams.get(heir)
             status = await self.status_of(item) if item is not None else None
-            if status is None or status.held_term or status.leads:
+            if status is None or status.paused_term or status.leads:
                 return False
             if longest is None or status.received >= longest:
                 return True
--- a/tests/platform/test_codec.py
+++ b/tests/platform/test_codec.py
@@ -139,7 +139,7 @@
 
 def test_a_status_row():
     status = read_status_row("replica 3 3.1209 4 12 2 17")
-    assert (status.leads, status.term, status.held_term) == (False, 3, 4)
+    assert (status.leads, status.term, status.paused_term) == (False, 3, 4)
     assert status.received == Position(term=3, index=1209)
 
 
--- a/tests/platform/test_returned_store.py
+++ b/tests/platform/test_returned_store.py
@@ -145,12 +145,12 @@
     async def main(stand_in, client):
         leases = StoreLeases(store=client)
         copy = stand_in.copy()
-        lost = await leases.take("g", "d1", await leases.read("g"))
+        lost = await leases.acquire("g", "d1", await leases.read("g"))
         stand_in.return_from(copy)
         other = StoreLeases(store=Store(address=client.address))
-        found = await other.take("g", "d2", await other.read("g"))
+        found = await other.acquire("g", "d2", await other.read("g"))
         assert found.token > lost.token
-        again = await other.take("g", "d3", await other.read("g"))
+        again = await other.acquire("g", "d3", await other.read("g"))
         assert again.token == found.token + 1
 
     with_store(main)
@@ -165,8 +165,8 @@
         seen = await leases.read("g")
         stand_in.return_from(copy)
         with pytest.raises(LeaseError):
-            await leases.take("g", "d1", seen)
-        found = await leases.take("g", "d1", await leases.read("g"))
+            await leases.acquire("g", "d1", seen)
+        found = await leases.acquire("g", "d1", await leases.read("g"))
         assert era_of(found.revision) == 2
 
     with_store(main)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -355,10 +355,10 @@
         leases = StoreLeases(store=client)
         seen = await leases.read("g")
         assert (seen.holder, seen.token) == ("", 0)
-        mine = await leases.take("g", "d1", seen)
+        mine = await leases.acquire("g", "d1", seen)
         assert (mine.holder, mine.token) == ("d1", 1)
-        assert await leases.take("g", "d2", seen) is None
-        next_one = await leases.take("g", "d2", await leases.read("g"))
+        assert await leases.acquire("g", "d2", seen) is None
+        next_one = await leases.acquire("g", "d2", await leases.read("g"))
         assert next_one.token == 2
 
     with_store(main)
@@ -399,7 +399,7 @@
         leases = StoreLeases(store=client)
         stand_in.lose = 1
         with pytest.raises(LeaseError):
-            await leases.take("g", "d1", await leases.read("g"))
+            await leases.acquire("g", "d1", await leases.read("g"))
         assert (await leases.read("g")).holder == "d1"
 
     with_store(main)
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -28,19 +28,19 @@
     north = catalog.workspaces["north"]
     assert north.cap == Cap(rate=59, burst=40, version=7)
     assert catalog.workspaces["south"].cap is None
-    assert catalog.holders[digest_of(b"n2")] == "north"
-    assert catalog.holders[digest_of(b"s1")] == "south"
+    assert catalog.key_workspaces[digest_of(b"n2")] == "north"
+    assert catalog.key_workspaces[digest_of(b"s1")] == "south"
 
 
 def test_without_the_part_callers_need_no_key():
     catalog = read_catalog(CONFIG)
-    assert not catalog.asks_key(catalog.routes["orders"])
+    assert not catalog.requires_key(catalog.routes["orders"])
 
 
 def test_with_an_empty_part_nobody_has_one():
     catalog = read_catalog({**CONFIG, "tenants": []})
-    assert catalog.asks_key(catalog.routes["orders"])
-    assert catalog.holders == {}
+    assert catalog.requires_key(catalog.routes["orders"])
+    assert catalog.key_workspaces == {}
 
 
 @pytest.mark.parametrize(
--- a/tests/sessions/fakegroup.py
+++ b/tests/sessions/fakegroup.py
@@ -14,8 +14,8 @@
     SessionState,
     UpstreamLost,
     UpstreamRefused,
-    UpstreamSilent,
     UpstreamStatus,
+    UpstreamTimeout,
 )
 from gypsum_sessions.statements import StatementKind
 from gypsum_sessions.upstreams.roster import Member
@@ -295,7 +295,7 @@
                 return await asyncio.shield(work)
         except TimeoutError:
             self.close()
-            raise UpstreamSilent(
+            raise UpstreamTimeout(
                 "no answer", step=str(statement.kind), peer=self.member.id
             ) from None
 
@@ -444,7 +444,7 @@
             leads=member.leads,
             term=member.group.term,
             received=member.end,
-            held_term=member.paused,
+            paused_term=member.paused,
             lag_ms=member.lag * 1000,
         )
         return Reply(rows=(status,), state=self.state, position=member.end)
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -53,7 +53,7 @@
             raise LeaseError("down", step="read", peer="store")
         return {"db": self.lease}, self.group.revision
 
-    async def take(self, group, holder, seen):
+    async def acquire(self, group, holder, seen):
         """Take it if nobody did."""
         self.calls += 1
         await asyncio.sleep(0.004)
@@ -65,7 +65,7 @@
             holder=holder,
             token=seen.token + 1,
             revision=self.group.next_revision(),
-            chain_began=seen.next_chain,
+            chain_start=seen.next_chain_start,
         )
         self.tell()
         if self.lose:
@@ -229,7 +229,7 @@
             and {
                 name: Workspace(name=name, cap=caps and caps.get(name)) for name in keys
             },
-            holders={
+            key_workspaces={
                 digest_of(key.encode()): name
                 for name, known in (keys or {}).items()
                 for key in known
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -110,7 +110,7 @@
     async def main():
         rig = Rig()
         await rig.settle()
-        lease = await rig.leases.take("db", "other", rig.leases.lease)
+        lease = await rig.leases.acquire("db", "other", rig.leases.lease)
         rig.proxy.lease_view.note("db", lease)
         rig.group["u2"].restart_empty()
         refresh(rig)
--- a/tests/sessions/test_leaseboard.py
+++ b/tests/sessions/test_leaseboard.py
@@ -31,7 +31,7 @@
         token=token,
         revision=revision,
         settled=settled,
-        chain_began=chain,
+        chain_start=chain,
     )
 
 
@@ -63,12 +63,12 @@
 def test_leases_that_follow_each_other_unsettled_are_one_chain():
     board, _ = make_board()
     board.note("g", lease(1, 20))
-    second = lease(2, 30, chain=lease(1, 20).next_chain)
+    second = lease(2, 30, chain=lease(1, 20).next_chain_start)
     board.note("g", second)
     board.note_known(40)
     assert not board.knows("g", 25)
-    assert second.next_chain == 20
-    assert lease(2, 35, settled=True, chain=20).next_chain == 0
+    assert second.next_chain_start == 20
+    assert lease(2, 35, settled=True, chain=20).next_chain_start == 0
 
 
 def test_nobodys_lease_is_no_takeover():
--- a/tests/sessions/test_lost_lease.py
+++ b/tests/sessions/test_lost_lease.py
@@ -26,7 +26,7 @@
         assert await second.takeovers["db"].take_lease(Reason.NO_PRIMARY)
         taken = second.takeovers["db"].lease
         assert taken.token > held.token
-        assert taken.began == held.began
+        assert taken.takeover_start == held.takeover_start
 
     run(main())
 
@@ -44,4 +44,4 @@
     seen = PromotionLease(holder="", token=0, revision=0)
     found = board.newest("g", seen)
     assert (found.holder, found.token, found.revision) == ("d", 4, 0)
-    assert found.next_chain == 8
+    assert found.next_chain_start == 8
--- a/tests/sessions/test_metrics.py
+++ b/tests/sessions/test_metrics.py
@@ -3,7 +3,11 @@
 import asyncio
 
 from gypsum_policy.usage import Cap
-from gypsum_sessions.metrics import MOST_WORKSPACES, OTHERS, SessionMetrics
+from gypsum_sessions.metrics import (
+    MAX_NAMED_WORKSPACES,
+    OTHER_WORKSPACES,
+    SessionMetrics,
+)
 from gypsum_sessions.replies import Reply
 from tests.sessions.rig import Rig, catalog
 from tests.sessions.vclock import run
@@ -60,8 +64,8 @@
 
 def test_calls_to_the_store_are_counted_by_step_and_kind():
     metrics = SessionMetrics()
-    metrics.take_calls({("watch", "servers"): 3, ("list", "config"): 1})
-    metrics.take_calls({("watch", "servers"): 5})
+    metrics.set_store_calls({("watch", "servers"): 3, ("list", "config"): 1})
+    metrics.set_store_calls({("watch", "servers"): 5})
     body, _ = metrics.render([])
     text = body.decode()
     assert 'gypsum_store_calls_total{kind="servers",step="watch"} 5' in text
@@ -73,7 +77,7 @@
         rig = Rig()
         rig.proxy.drain_rollbacks = 2
         metrics = SessionMetrics()
-        metrics.take(rig.proxy, 0)
+        metrics.collect(rig.proxy, 0)
         return metrics
 
     body, _ = run(main()).render([])
@@ -89,7 +93,7 @@
         await rig.settle()
         caller = rig.caller("bounded", key="n1key")
         replies = [await caller.send("READ a") for _ in range(5)]
-        metrics.take(rig.proxy, 0)
+        metrics.collect(rig.proxy, 0)
         return metrics, rig, sum(reply.ok for reply in replies)
 
     metrics, rig, ran = run(main())
@@ -103,8 +107,8 @@
 def test_workspaces_beyond_the_bound_share_one_series():
     metrics = SessionMetrics()
     route = catalog().routes["own"]
-    for number in range(MOST_WORKSPACES + 50):
+    for number in range(MAX_NAMED_WORKSPACES + 50):
         metrics.observe_workspace(route, Reply(), 0.01, f"w{number}")
     names = {labels["workspace"] for labels, _ in metrics.by_workspace.get_all()}
-    assert len(names) == MOST_WORKSPACES + 1
-    assert OTHERS in names
+    assert len(names) == MAX_NAMED_WORKSPACES + 1
+    assert OTHER_WORKSPACES in names
--- a/tests/sessions/test_pool.py
+++ b/tests/sessions/test_pool.py
@@ -9,7 +9,7 @@
     UpstreamError,
     UpstreamLost,
     UpstreamRefused,
-    UpstreamSilent,
+    UpstreamTimeout,
 )
 from gypsum_sessions.tuning import DEFAULT_SESSION_TUNING
 from gypsum_sessions.upstreams.pool import ConnPool
@@ -80,7 +80,7 @@
     async def main():
         pool, _, _ = make_pool(limit=1)
         held = await pool.acquire(values={}, timeout=1.0)
-        with pytest.raises(UpstreamSilent):
+        with pytest.raises(UpstreamTimeout):
             await pool.acquire(values={}, timeout=0.2)
         pool.release(held)
         pool.release(await pool.acquire(values={}, timeout=0.2))
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -161,7 +161,7 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        left = await rig.leases.take("db", "dead", rig.leases.lease)
+        left = await rig.leases.acquire("db", "dead", rig.leases.lease)
         for name in ("u2", "u3"):
             rig.group[name].paused = 2
         await asyncio.sleep(rig.proxy.tuning.takeover_max_duration + 1.5)
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -25,7 +25,7 @@
         leads=False,
         term=1,
         received=Position(term=term, index=index),
-        held_term=2,
+        paused_term=2,
         lag_ms=0.0,
     )
     return Paused(upstream=name, leaving=leaving, status=status)
--- a/tests/standins/wireupstream.py
+++ b/tests/standins/wireupstream.py
@@ -141,4 +141,4 @@
     """The row of a status."""
     role = "primary" if status.leads else "replica"
     received = f"{status.received.term}.{status.received.index}"
-    return f"{role} {status.term} {received} {status.held_term} 0 0 1"
+    return f"{role} {status.term} {received} {status.paused_term} 0 0 1"
