--- a/tests/sessions/breaks.py
+++ b/tests/sessions/breaks.py
@@ -17,12 +17,12 @@
 from gypsum_sessions.upstreams.pool import ConnPool
 
 
-async def pass_on_every_commit(group, position, leader, *, patience):
+async def confirm_every_commit(group, position, leader, *, patience):
     """Commits are passed on unconfirmed."""
     return True
 
 
-def oldest_floor(self, not_before):
+def accept_any_floor(self, not_before):
     """Floors of any age will do."""
     return self.known[0] if self.known else None
 
@@ -44,72 +44,70 @@
     return False
 
 
-def told_as_not_run(group, job, item, exc):
+def report_as_not_run(group, job, item, exc):
     """A write without an answer is told as not run."""
     return Reply(refusal=Refusal.BUSY, detail="broken on purpose")
 
 
-def sent_again(group, job, item, exc):
+def send_again(group, job, item, exc):
     """A write without an answer is sent again."""
     raise writes.NotSent("broken on purpose")
 
 
-def own_commits_forgotten(first, second):
+def forget_own_commits(first, second):
     """A session's own commits do not count."""
     return first
 
 
-async def aborted_though_sent(group, tx, job):
+async def report_sent_commit_as_aborted(group, tx, job):
     """A COMMIT without an answer is told as rolled back."""
-    reply = await KEPT_COMMIT(group, tx, job)
+    reply = await ORIGINAL_COMMIT(group, tx, job)
     if reply.refusal is Refusal.IN_DOUBT:
         return transactions.aborted("broken on purpose")
     return reply
 
 
-KEPT_COMMIT = transactions.commit
+ORIGINAL_COMMIT = transactions.commit
 
 
-async def write_that_is_repeated(self, job):
+async def repeat_write(self, job):
     """A write is sent to the next owner when its owner is lost."""
     return await self.run(job, repeats=True)
 
 
-def told_as_rolled_back(exc):
+def report_as_aborted(exc):
     """Work that may have reached an upstream is told as rolled back."""
     return transactions.aborted("broken on purpose")
 
 
-def take_any_idle(self, values, oldest=False, workspace=None):
+def take_idle_of_any_workspace(self, values, oldest=False, workspace=None):
     """A connection is taken whoever it was opened for."""
-    return KEPT_TAKE_IDLE(self, values, oldest)
+    return ORIGINAL_TAKE_IDLE(self, values, oldest)
 
 
-KEPT_TAKE_IDLE = ConnPool.take_idle
+ORIGINAL_TAKE_IDLE = ConnPool.take_idle
 
 BREAKS = {
     "every commit is passed on": [
-        (writes, "is_safe", pass_on_every_commit),
-        (transactions, "is_safe", pass_on_every_commit),
+        (writes, "is_safe", confirm_every_commit),
+        (transactions, "is_safe", confirm_every_commit),
     ],
-    "floors of any age": [(Floors, "since", oldest_floor)],
+    "floors of any age": [(Floors, "since", accept_any_floor)],
     "nobody is paused": [(ReplicationControl, "pause_all", pause_nobody)],
     "connections are not reset": [(pooled, "needs_reset", never_reset)],
-    "lost writes are told as not run": [(writes, "lost_write", told_as_not_run)],
-    "lost writes are sent again": [(writes, "lost_write", sent_again)],
-    "own commits are forgotten": [(reads, "later", own_commits_forgotten)],
+    "lost writes are told as not run": [(writes, "lost_write", report_as_not_run)],
+    "lost writes are sent again": [(writes, "lost_write", send_again)],
+    "own commits are forgotten": [(reads, "later", forget_own_commits)],
     "lost commits are told as rolled back": [
-        (transactions, "commit", aborted_though_sent)
+        (transactions, "commit", report_sent_commit_as_aborted)
     ],
 }
 
 # Breaks of the way by owners.
 OWNER_BREAKS = {
-    "lost owners' writes are sent again": [
-        (RemoteAccess, "write", write_that_is_repeated)
-    ],
+    "lost owners' writes are sent again": [(RemoteAccess, "write", repeat_write)],
     "lost owners' commits are told as rolled back": [
-        (remote, "in_doubt", told_as_rolled_back)
+        (remote, "in_doubt", report_as_aborted)
     ],
 }
 
@@ -117,13 +115,13 @@
 # Breaks of the names that statements run in.
 KEY_BREAKS = {
     "connections of any workspace are taken": [
-        (ConnPool, "take_idle", take_any_idle),
+        (ConnPool, "take_idle", take_idle_of_any_workspace),
     ],
 }
 
 
 @contextmanager
-def broken(name):
+def apply_break(name):
     """Apply one break."""
     changes = {**BREAKS, **OWNER_BREAKS, **KEY_BREAKS}[name]
     patches = [patch.object(*change) for change in changes]
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -13,11 +13,11 @@
 from tests.sessions.vclock import run
 
 RUN_SECONDS = 14.0
-CALM_SECONDS = 14.0
-PROMISES = {Refusal.BUSY, Refusal.ABORTED, Refusal.LAGGING, Refusal.READ_ONLY}
+RECOVERY_SECONDS = 14.0
+NOT_KEPT_REFUSALS = {Refusal.BUSY, Refusal.ABORTED, Refusal.LAGGING, Refusal.READ_ONLY}
 
 
-class Watch(Promises):
+class Checker(Promises):
     """Takes in what the upstreams of a rig ran."""
 
     def __init__(self, *, rig):
@@ -53,64 +53,64 @@
         super().finish(kept, orders)
 
 
-async def live(rig, watch, rng, place, until):
-    """One caller of the daemon at a place: statements and transactions until a time."""
+async def run_caller(rig, checker, rng, index, until):
+    """One caller of the daemon at a index: statements and transactions until a time."""
     loop = rig.loop
     while loop.time() < until:
-        proxy = rig.proxies[place]
+        proxy = rig.proxies[index]
         database = rng.choice(["primary", "bounded", "own"])
         workspace = rng.choice(sorted(rig.keys)) if rig.keys else ""
         caller = rig.caller(database, proxy, f"key-{workspace}")
         if caller.session is None:
             await asyncio.sleep(0.1)
             continue
-        watch.values[caller.number] = {}
-        watch.workspaces[caller.number] = workspace
+        checker.values[caller.number] = {}
+        checker.workspaces[caller.number] = workspace
         for _ in range(rng.randint(1, 6)):
-            await operate(rig, watch, rng, caller)
+            await run_operation(rig, checker, rng, caller)
             await asyncio.sleep(rng.random() * 0.3)
         await proxy.close_session(caller.session)
 
 
-async def operate(rig, watch, rng, caller):
+async def run_operation(rig, checker, rng, caller):
     """One operation of a caller."""
     kind = rng.choices(["read", "write", "tx", "set", "prepared"], [8, 4, 4, 1, 2])[0]
     if kind == "set":
         name, value = rng.choice("abc"), str(rng.randint(0, 2))
         if (await caller.send(f"SET {name} {value}")).ok:
-            watch.values[caller.number][name] = value
+            checker.values[caller.number][name] = value
     elif kind == "read":
-        await read(rig, watch, caller, "READ item")
+        await read(rig, checker, caller, "READ item")
     elif kind == "prepared":
         await caller.send("PREPARE s READ q")
-        await read(rig, watch, caller, "EXECUTE s item")
+        await read(rig, checker, caller, "EXECUTE s item")
     elif kind == "write":
-        await write(rig, watch, caller)
+        await write(rig, checker, caller)
     else:
-        await transaction(rig, watch, rng, caller)
+        await transaction(rig, checker, rng, caller)
 
 
-async def read(rig, watch, caller, text):
+async def read(rig, checker, caller, text):
     """A single read."""
-    watch.reads[caller.next_request] = SentRead(
+    checker.reads[caller.next_request] = SentRead(
         at=rig.loop.clock(), session=caller.number, rule=caller.session.route.rule
     )
     await caller.send(text)
 
 
-async def write(rig, watch, caller):
+async def write(rig, checker, caller):
     """A single write of data that nobody else writes."""
     data = caller.next_request
     reply = await caller.send(f"WRITE {data} {data}")
     if reply.ok:
-        watch.acked.append(
+        checker.acked.append(
             Acked(data=(data,), at=rig.loop.clock(), session=caller.number)
         )
-    elif reply.refusal in PROMISES:
-        watch.promised.append(data)
+    elif reply.refusal in NOT_KEPT_REFUSALS:
+        checker.promised.append(data)
 
 
-async def transaction(rig, watch, rng, caller):
+async def transaction(rig, checker, rng, caller):
     """A transaction of some statements, with pauses."""
     writing = rng.random() < 0.6
     began = rig.loop.clock()
@@ -118,13 +118,15 @@
     wrote, reply = [], None
     for _ in range(rng.randint(0, 4)):
         request = caller.next_request
-        watch.transactions[request] = caller.number
+        checker.transactions[request] = caller.number
         if writing and rng.random() < 0.6:
             wrote.append(request)
             reply = await caller.send(f"WRITE {request} {request}")
         else:
             rule = caller.session.route.rule
-            watch.reads[request] = SentRead(at=began, session=caller.number, rule=rule)
+            checker.reads[request] = SentRead(
+                at=began, session=caller.number, rule=rule
+            )
             reply = await caller.send("READ item")
         if not reply.ok:
             break
@@ -132,184 +134,184 @@
     failed = reply is not None and not reply.ok
     if failed or rng.random() < 0.2:
         await caller.send("ROLLBACK")
-        watch.promised += wrote
+        checker.promised += wrote
         return
-    watch.transactions[caller.next_request] = caller.number
+    checker.transactions[caller.next_request] = caller.number
     reply = await caller.send("COMMIT")
     if reply.ok and wrote:
-        watch.acked.append(
+        checker.acked.append(
             Acked(
                 data=tuple(wrote),
                 at=rig.loop.clock(),
                 session=caller.number,
             )
         )
-    elif reply.refusal in PROMISES:
-        watch.promised += wrote
+    elif reply.refusal in NOT_KEPT_REFUSALS:
+        checker.promised += wrote
 
 
 # What may happen. Seeds that showed a fault rest on the order of these.
-TROUBLES = (
-    "dark",
+BASIC_FAULTS = (
+    "unresponsive",
     "crash",
-    "primary_cut",
-    "deaf",
+    "partition_primary",
+    "replication_cut",
     "lagging",
-    "daemon_cut",
-    "silent",
-    "lost_answers",
-    "late_orders",
+    "cut_daemon_path",
+    "silence_connections",
+    "lose_answers",
+    "delay_promotion",
     "store_down",
-    "lost_lease",
+    "lose_lease_answer",
     "join",
-    "cut_and_join",
-    "cut_and_crash",
+    "partition_primary_and_join",
+    "crash_primary_with_stale_replica",
     "late_pause",
     "suspend",
 )
 # ... and with gaps in the list, new processes, full and leaving members as well.
-MORE_TROUBLES = (
-    *TROUBLES,
-    "lapse",
+EXTENDED_FAULTS = (
+    *BASIC_FAULTS,
+    "unlist_members",
     "restart_daemon",
-    "lapse_and_restart_all",
-    "at_limit",
-    "leave",
+    "unlist_and_restart_all",
+    "exhaust_connections",
+    "remove_member",
 )
 # ... and with owners and daemons that ask them, whose links fail.
-OWNER_TROUBLES = (
-    *MORE_TROUBLES,
+OWNER_FAULTS = (
+    *EXTENDED_FAULTS,
     "freeze_daemon",
     "cut_links",
     "kill_daemon",
     "drain_daemon",
-    "late_orders",
-    "leave",
+    "delay_promotion",
+    "remove_member",
 )
 
 
 # ... and with callers that show keys, one of which comes and goes.
-KEY_TROUBLES = (*OWNER_TROUBLES, "withdraw", "withdraw")
+KEY_FAULTS = (*OWNER_FAULTS, "withdraw_key", "withdraw_key")
 LASTING_KEY = "key-north"
 KEYS = {"north": ["key-north"], "south": ["key-south"], "east": ["key-east"]}
 
 
-class Faults:
-    """Random troubles, each mended after a while."""
+class FaultInjector:
+    """Random faults, each inject after a while."""
 
-    def __init__(self, *, rig, rng, troubles):
+    def __init__(self, *, rig, rng, faults):
         self.rig = rig
-        self.troubles = troubles
+        self.faults = faults
         self.rng = rng
         self.joined = 0
 
     async def run(self, until):
-        """One trouble after the other, overlapping."""
+        """One fault after the other, overlapping."""
         while self.rig.loop.time() < until:
-            trouble = getattr(self, self.rng.choice(self.troubles))
-            asyncio.ensure_future(self.mended(trouble))
+            fault = getattr(self, self.rng.choice(self.faults))
+            asyncio.ensure_future(self.inject(fault))
             await asyncio.sleep(self.rng.random() * 2.5)
 
-    async def mended(self, trouble):
-        """A trouble and its end."""
-        mend = trouble()
-        if mend is None:
+    async def inject(self, fault):
+        """A fault and its end."""
+        undo = fault()
+        if undo is None:
             return
         await asyncio.sleep(0.3 + self.rng.random() * 4)
-        mend()
+        undo()
 
-    def member(self):
+    def any_member(self):
         """Any member."""
         return self.rng.choice(self.rig.group.members)
 
     def leader(self):
         """The leader, or any member if nobody leads."""
-        return self.rig.group.leader or self.member()
+        return self.rig.group.leader or self.any_member()
 
-    def any_or_leader(self):
+    def any_member_or_leader(self):
         """The leader half of the time."""
-        return self.leader() if self.rng.random() < 0.5 else self.member()
+        return self.leader() if self.rng.random() < 0.5 else self.any_member()
 
-    def dark(self):
+    def unresponsive(self):
         """A member answers nothing for a while."""
-        member = self.any_or_leader()
+        member = self.any_member_or_leader()
         member.dark = True
         return lambda: setattr(member, "dark", False)
 
     def crash(self):
         """A member crashes and comes back with its log."""
-        member = self.any_or_leader()
+        member = self.any_member_or_leader()
         if member.dead:
             return None
         member.crash()
         return member.restart
 
-    def primary_cut(self):
+    def partition_primary(self):
         """The primary loses replicas, and perhaps some daemons."""
         leader = self.leader()
         leader.cut_from.update(m.id for m in self.rig.group.members if m is not leader)
         if self.rng.random() < 0.5:
             self.rig.cut(self.rng.choice(self.rig.proxies), leader.id)
 
-        def mend():
+        def undo():
             leader.cut_from.clear()
-            self.mend_cuts()
+            self.restore_paths()
 
-        return mend
+        return undo
 
-    def deaf(self):
+    def replication_cut(self):
         """A replica receives nothing."""
-        member = self.member()
+        member = self.any_member()
         member.deaf = True
         return lambda: setattr(member, "deaf", False)
 
     def lagging(self):
         """A replica applies late."""
-        member = self.member()
+        member = self.any_member()
         member.lag = 1.0
         return lambda: setattr(member, "lag", 0.008)
 
-    def daemon_cut(self):
+    def cut_daemon_path(self):
         """A daemon loses its path to a member."""
-        self.rig.cut(self.rng.choice(self.rig.proxies), self.member().id)
-        return self.mend_cuts
+        self.rig.cut(self.rng.choice(self.rig.proxies), self.any_member().id)
+        return self.restore_paths
 
-    def mend_cuts(self):
+    def restore_paths(self):
         """All paths are there again; connections that went silent stay so."""
         for proxy in self.rig.proxies:
             proxy.around.dialer.dialer.cut.clear()
 
-    def silent(self):
+    def silence_connections(self):
         """Open connections to a member go silent for good."""
-        for conn in list(self.member().conns):
+        for conn in list(self.any_member().conns):
             if self.rng.random() < 0.5:
                 conn.silent = True
 
-    def lost_answers(self):
+    def lose_answers(self):
         """The next answers of a member are lost."""
-        self.any_or_leader().lose_answers = self.rng.randint(1, 3)
+        self.any_member_or_leader().lose_answers = self.rng.randint(1, 3)
 
-    def late_orders(self):
+    def delay_promotion(self):
         """The next order to promote is carried out late and not answered."""
-        self.rig.promoter.late.append(1.0 + self.rng.random() * 6)
+        self.rig.promoter.delayed_orders.append(1.0 + self.rng.random() * 6)
 
     def store_down(self):
         """The leases can't be read or taken."""
         self.rig.leases.down = True
         return lambda: setattr(self.rig.leases, "down", False)
 
-    def lost_lease(self):
+    def lose_lease_answer(self):
         """The next take of the lease is done and not answered."""
-        self.rig.leases.lose += 1
+        self.rig.leases.lose_answers += 1
 
-    def cut_and_join(self):
+    def partition_primary_and_join(self):
         """The primary loses replicas and a daemon; a new member comes just then."""
-        mend = self.primary_cut()
+        undo = self.partition_primary()
         loop = asyncio.get_running_loop()
         loop.call_later(0.7 + self.rng.random() * 1.5, self.join)
-        return mend
+        return undo
 
-    def cut_and_crash(self):
+    def crash_primary_with_stale_replica(self):
         """The primary dies while one replica is behind and the other out of reach."""
         behind, away = self.rng.sample(self.rig.group.replicas(), 2)
         behind.deaf = True
@@ -317,10 +319,10 @@
         loop.call_later(0.5, setattr, away, "dark", True)
         loop.call_later(0.6, setattr, leader, "dark", True)
 
-        def mend():
+        def undo():
             behind.deaf = away.dark = leader.dark = False
 
-        return mend
+        return undo
 
     def join(self):
         """A new member joins, listed a moment later."""
@@ -335,14 +337,14 @@
         for replica in self.rig.group.replicas():
             replica.paused = self.rig.group.term + 1
 
-    def lapse(self):
+    def unlist_members(self):
         """Some entries are off the list for a moment, though their members live."""
         members = self.rig.group.members
         away = {item.id for item in self.rng.sample(members, len(members) - 1)}
         self.rig.group.unlisted |= away
-        asyncio.get_running_loop().call_later(1.5, self.relist, away)
+        asyncio.get_running_loop().call_later(1.5, self.relist_members, away)
 
-    def relist(self, away):
+    def relist_members(self, away):
         """The entries are back, as new ones."""
         for name in away:
             self.rig.group[name].joined = self.rig.group.next_revision()
@@ -350,19 +352,19 @@
 
     def restart_daemon(self):
         """A daemon is killed and starts anew with what the store has."""
-        self.restart(self.rng.randrange(len(self.rig.proxies)))
+        self.restart_process(self.rng.randrange(len(self.rig.proxies)))
 
-    def lapse_and_restart_all(self):
+    def unlist_and_restart_all(self):
         """All daemons start anew while the list has gaps."""
-        self.lapse()
-        for place in range(len(self.rig.proxies)):
-            self.restart(place)
+        self.unlist_members()
+        for index in range(len(self.rig.proxies)):
+            self.restart_process(index)
 
-    def restart(self, place):
-        """Put a new process at a daemon's place."""
+    def restart_process(self, index):
+        """Put a new process at a daemon's index."""
         if self.rig.leases.down:
             return
-        old = self.rig.proxies[place]
+        old = self.rig.proxies[index]
         old.stop()
         self.rig.links.reset(old.name)
         names = [proxy.name for proxy in self.rig.proxies]
@@ -373,25 +375,25 @@
         proxy.recorder.recorded.clear()
         if "db" in self.rig.records.saved:
             proxy.add_recorded_members("db", self.rig.records.saved["db"])
-        self.rig.proxies[place] = proxy
-        tend(proxy)
+        self.rig.proxies[index] = proxy
+        start_maintenance(proxy)
 
-    def at_limit(self):
+    def exhaust_connections(self):
         """A member takes no further connection for a while."""
-        member = self.any_or_leader()
+        member = self.any_member_or_leader()
         member.limit = len(member.conns)
         return lambda: setattr(member, "limit", 100)
 
-    def leave(self):
+    def remove_member(self):
         """A member leaves, and is gone with its log; a new one has come before."""
         stay = [item for item in self.rig.group.members if not item.leaving]
         if len(stay) < 4:
             return
         member = self.rng.choice(stay)
         member.leaving = True
-        asyncio.get_running_loop().call_later(7.0, self.depart, member)
+        asyncio.get_running_loop().call_later(7.0, self.end_member, member)
 
-    def depart(self, member):
+    def end_member(self, member):
         """The member that was leaving ends."""
         if member is self.rig.group.leader:
             member.crash()
@@ -416,10 +418,10 @@
 
     def kill_daemon(self):
         """A daemon is killed with its links, and starts anew."""
-        place = self.rng.randrange(len(self.rig.proxies))
-        name = self.rig.proxies[place].name
+        index = self.rng.randrange(len(self.rig.proxies))
+        name = self.rig.proxies[index].name
         self.rig.links.kill(name)
-        self.restart(place)
+        self.restart_process(index)
         return lambda: self.rig.links.dead.discard(name)
 
     def drain_daemon(self):
@@ -431,13 +433,13 @@
         for desk in list(proxy.peer_handlers):
             loop.call_later(1.0, desk.end_waiting)
 
-    def withdraw(self):
+    def withdraw_key(self):
         """A workspace loses its key, at each daemon at another moment."""
         name = self.rng.choice(sorted(KEYS))
-        self.offer({**KEYS, name: []})
-        return lambda: self.offer(KEYS)
+        self.offer_keys({**KEYS, name: []})
+        return lambda: self.offer_keys(KEYS)
 
-    def offer(self, keys):
+    def offer_keys(self, keys):
         """A new version comes into force, soon on most daemons and late on some."""
         self.rig.version += 1
         made = self.rig.configured(self.rig.version, keys)
@@ -451,14 +453,14 @@
         self.rig.loop.suspended += self.rng.random() * 3
 
 
-def tend(proxy):
+def start_maintenance(proxy):
     """Start what a daemon does all the time."""
     proxy.keep_running(proxy.run_maintenance)
     proxy.keep_running(proxy.record_members)
     proxy.keep_running(proxy.refresh_leases)
 
 
-async def keep_listed(rig):
+async def sync_member_lists(rig):
     """All daemons see the list of members change, a moment late."""
     while True:
         await asyncio.sleep(0.3)
@@ -470,36 +472,38 @@
                 rig.catch_up(proxy)
 
 
-async def play(seed, troubles=TROUBLES, daemons=3, max_connections=34, keys=None):
+async def run_chaos(
+    seed, faults=BASIC_FAULTS, daemons=3, max_connections=34, keys=None
+):
     """One run; returns the broken promises and the rig."""
     rng = Random(seed)
     rig = Rig(daemons=daemons, max_connections=max_connections, keys=keys)
-    watch = Watch(rig=rig)
-    rig.group.watch = watch
+    checker = Checker(rig=rig)
+    rig.group.watch = checker
     for proxy in rig.proxies:
-        tend(proxy)
+        start_maintenance(proxy)
     await rig.settle()
-    listing = asyncio.create_task(keep_listed(rig))
+    listing = asyncio.create_task(sync_member_lists(rig))
     until = rig.loop.time() + RUN_SECONDS
     callers = [
         asyncio.create_task(
-            live(rig, watch, Random(seed * 100 + n), n % daemons, until)
+            run_caller(rig, checker, Random(seed * 100 + n), n % daemons, until)
         )
         for n in range(2 * daemons)
     ]
-    await Faults(rig=rig, rng=rng, troubles=troubles).run(until)
+    await FaultInjector(rig=rig, rng=rng, faults=faults).run(until)
     results = await asyncio.gather(*callers, return_exceptions=True)
-    watch.broken += [f"CALLER {item!r}" for item in results if item is not None]
-    heal(rig)
-    await write_on(rig, watch, CALM_SECONDS)
-    watch.finish()
-    await check_service(rig, watch)
+    checker.broken += [f"CALLER {item!r}" for item in results if item is not None]
+    end_all_faults(rig)
+    await write_periodically(rig, checker, RECOVERY_SECONDS)
+    checker.finish()
+    await check_service(rig, checker)
     listing.cancel()
-    return watch.broken, rig
+    return checker.broken, rig
 
 
-async def write_on(rig, watch, seconds):
-    """A write every two seconds at each daemon: callers go on after the troubles.
+async def write_periodically(rig, checker, seconds):
+    """A write every two seconds at each daemon: callers go on after the faults.
 
     A replica that an order of long ago has paused is only noticed by a write.
     """
@@ -507,18 +511,18 @@
     while rig.loop.time() < until:
         for proxy in rig.proxies:
             caller = rig.caller("own", proxy, LASTING_KEY)
-            watch.values[caller.number] = {}
-            await write(rig, watch, caller)
+            checker.values[caller.number] = {}
+            await write(rig, checker, caller)
         await asyncio.sleep(2.0)
 
 
-def heal(rig):
-    """End all troubles."""
+def end_all_faults(rig):
+    """End all faults."""
     rig.links.dead.clear()
     rig.links.cut.clear()
     for name in list(rig.links.frozen):
         rig.links.thaw(name)
-    rig.leases.down, rig.leases.lose = False, 0
+    rig.leases.down, rig.leases.lose_answers = False, 0
     for member in rig.group.members:
         member.dark = member.deaf = member.dead = False
         member.lose_answers = 0
@@ -532,16 +536,18 @@
             proxy.offer_catalog(rig.configured(rig.version, rig.keys), "test")
 
 
-async def check_service(rig, watch):
+async def check_service(rig, checker):
     """After all is well again, every daemon serves reads and writes."""
     for proxy in rig.proxies:
         caller: FakeCaller = rig.caller("own", proxy, LASTING_KEY)
-        watch.values[caller.number] = {}
+        checker.values[caller.number] = {}
         reply = await caller.send("WRITE last last")
         if not reply.ok:
-            watch.broken.append(f"RECOVER {proxy.name}: {reply.refusal} {reply.detail}")
+            checker.broken.append(
+                f"RECOVER {proxy.name}: {reply.refusal} {reply.detail}"
+            )
 
 
-def broken_promises(seed, troubles=TROUBLES, **fleet):
+def broken_promises(seed, faults=BASIC_FAULTS, **fleet):
     """Run one seed; the list of what was broken."""
-    return run(play(seed, troubles, **fleet))[0]
+    return run(run_chaos(seed, faults, **fleet))[0]
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -22,21 +22,21 @@
 
 
 class FakeLeases:
-    """The store's leases; `down` refuses, `lose` acts and does not answer."""
+    """The store's leases; `down` refuses, `lose_answers` acts and does not answer."""
 
     def __init__(self, *, group):
         self.group = group
         self.lease = PromotionLease(holder="", token=0, revision=0)
         self.down = False
-        self.lose = 0
+        self.lose_answers = 0
         self.calls = 0
-        self.boards = []
+        self.lease_views = []
 
-    def tell(self):
+    def notify_views(self):
         """All watches show the lease a moment later."""
         loop, lease = asyncio.get_running_loop(), self.lease
-        for board in self.boards:
-            loop.call_later(0.003, board.note, "db", lease)
+        for view in self.lease_views:
+            loop.call_later(0.003, view.note, "db", lease)
 
     async def read(self, group):
         """The lease."""
@@ -67,9 +67,9 @@
             revision=self.group.next_revision(),
             chain_start=seen.next_chain_start,
         )
-        self.tell()
-        if self.lose:
-            self.lose -= 1
+        self.notify_views()
+        if self.lose_answers:
+            self.lose_answers -= 1
             raise LeaseError("no answer", step="take", peer=group)
         return self.lease
 
@@ -83,7 +83,7 @@
             return None
         revision = self.group.next_revision()
         self.lease = replace(lease, settled=True, revision=revision)
-        self.tell()
+        self.notify_views()
         return self.lease
 
 
@@ -117,13 +117,13 @@
 
 
 class FakePromoter:
-    """The platform's promotions, fenced by token; `late` orders act seconds later."""
+    """The platform's promotions, fenced by token; `delayed_orders` take effect late."""
 
     def __init__(self, *, group):
         self.group = group
-        self.highest = 0
+        self.highest_token = 0
         self.orders = []
-        self.late = []
+        self.delayed_orders = []
         self.down = False
 
     async def promote(self, group, upstream, holder, token):
@@ -132,21 +132,23 @@
         await asyncio.sleep(0.004)
         if self.down:
             return PromoteOutcome.NOT_DONE
-        if self.late:
-            delay = self.late.pop(0)
-            asyncio.get_running_loop().call_later(delay, self.act, upstream, token)
+        if self.delayed_orders:
+            delay = self.delayed_orders.pop(0)
+            asyncio.get_running_loop().call_later(
+                delay, self.apply_order, upstream, token
+            )
             await asyncio.sleep(1.0)
             return PromoteOutcome.UNANSWERED
-        if token < self.highest or self.group[upstream].dead:
+        if token < self.highest_token or self.group[upstream].dead:
             return PromoteOutcome.REFUSED
-        self.act(upstream, token)
+        self.apply_order(upstream, token)
         return PromoteOutcome.ACCEPTED
 
-    def act(self, upstream, token):
+    def apply_order(self, upstream, token):
         """The order takes effect a moment later, if its token still counts."""
-        if token < self.highest:
+        if token < self.highest_token:
             return
-        self.highest = token
+        self.highest_token = token
         loop = asyncio.get_running_loop()
         loop.call_later(PROMOTE_TIME, self.group.promote, upstream)
 
@@ -208,7 +210,7 @@
         proxy.update_daemons(
             [DaemonEntry(id=name, domain="a", link=name) for name in names]
         )
-        self.leases.boards.append(proxy.lease_view)
+        self.leases.lease_views.append(proxy.lease_view)
         proxy.offer_catalog(self.configured(version, self.keys, self.caps), "test")
         proxy.update_members(self.group.listing())
         self.catch_up(proxy)
--- a/tests/sessions/test_departed.py
+++ b/tests/sessions/test_departed.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gypsum_sessions.takeover.attempt import DEPARTED_WAIT
-from tests.sessions.chaos import keep_listed
+from tests.sessions.chaos import sync_member_lists
 from tests.sessions.fakegroup import PROMOTE_TIME
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
@@ -13,7 +13,7 @@
     """The list and its graces work as in a daemon."""
     for proxy in rig.proxies:
         proxy.keep_running(proxy.run_maintenance)
-    rig.proxy.keep_running(lambda: keep_listed(rig))
+    rig.proxy.keep_running(lambda: sync_member_lists(rig))
 
 
 async def lose_the_only_copy(rig):
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -7,7 +7,7 @@
 from gypsum_policy.leaving import plan_for
 from gypsum_sessions.callers.drain import drain
 from gypsum_sessions.replies import Refusal
-from tests.sessions.connected import connect
+from tests.sessions.connections import connect
 from tests.sessions.owners import (
     first_owner,
     open_transaction,
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -47,7 +47,7 @@
         writers = start_writers(rig, 8.0, told)
         await asyncio.sleep(1.0)
         rig.group["u1"].cut_from.update({"u2", "u3"})
-        rig.promoter.late = [2.0]
+        rig.promoter.delayed_orders = [2.0]
         await asyncio.sleep(1.6)
         rig.group["u1"].cut_from.clear()
         await asyncio.gather(*writers)
@@ -68,7 +68,7 @@
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
-        rig.promoter.late = [6.0]
+        rig.promoter.delayed_orders = [6.0]
         told = []
         writer = asyncio.create_task(write_for(rig, rig.proxy, 12.0, told))
         await asyncio.sleep(0.5)
@@ -135,7 +135,7 @@
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
-        rig.promoter.late = [6.0, 6.0, 6.0, 6.0]
+        rig.promoter.delayed_orders = [6.0, 6.0, 6.0, 6.0]
         rig.group["u1"].dark = True
         while not rig.promoter.orders:
             await asyncio.sleep(0.05)
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -211,7 +211,7 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.promoter.late = [4.0, 2.5]
+        rig.promoter.delayed_orders = [4.0, 2.5]
         told = []
         writers = start_writers(rig, 15.0, told)
         await asyncio.sleep(1.0)
@@ -228,7 +228,7 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.promoter.highest = 3
+        rig.promoter.highest_token = 3
         rig.group["u1"].dark = True
         await asyncio.sleep(12.0)
         tokens = [token for _, _, token in rig.promoter.orders]
--- a/tests/sessions/test_workspaces.py
+++ b/tests/sessions/test_workspaces.py
@@ -7,7 +7,7 @@
 from gypsum_platform.codec import read_statement
 from gypsum_sessions.callers.keys import digest_of
 from gypsum_sessions.replies import Refusal, SessionState
-from tests.sessions.connected import connect
+from tests.sessions.connections import connect
 from tests.sessions.owners import DAEMONS, FEW
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
