--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -1,6 +1,7 @@
-"""Random callers and random faults over one group, checked from the callers' side.
+"""Random callers and random faults over one group.
 
-Every promise is checked on what callers were told and what the fake upstreams ran.
+Every promise is checked against the replies that callers received and the statements
+that the fake upstreams ran.
 """
 
 import asyncio
@@ -18,16 +19,16 @@
 
 
 class Checker(Promises):
-    """Takes in what the upstreams of a rig ran."""
+    """Checks the statements that the upstreams of a rig ran."""
 
     def __init__(self, *, rig):
         super().__init__()
         self.rig = rig
-        # The workspace of each caller that showed a key.
+        # Workspace by caller number, empty for a caller without a key.
         self.workspaces = {}
 
     def statement_ran(self, conn, request):
-        """An upstream ran a caller's statement."""
+        """Check a statement that an upstream ran for a caller."""
         own = self.workspaces.get(int(request.split("-")[0]), "")
         if conn.workspace != own and own:
             self.broken.append(f"UNASKED {request} as {conn.workspace!r}, not {own!r}")
@@ -40,21 +41,21 @@
         )
 
     def read_ran(self, member, request):
-        """An upstream ran a read: what does its log lack?"""
+        """Check a read that an upstream ran for acknowledged data that it lacks."""
         log = member.log[: member.applied]
         shown = {data for entry in log for _, data in entry.writes}
         acked = {data for item in self.acked for data in item.data}
         super().read_ran(request, member.id, acked - shown)
 
     def finish(self):
-        """Check what is only known at the end."""
+        """Check what can only be checked after the run."""
         kept = [data for entry in self.rig.group.leader.log for _, data in entry.writes]
         orders = [(token, holder) for _, holder, token in self.rig.promoter.orders]
         super().finish(kept, orders)
 
 
 async def run_caller(rig, checker, rng, index, until):
-    """One caller of the daemon at a index: statements and transactions until a time."""
+    """Run callers of one daemon, one after the other, until a time."""
     loop = rig.loop
     while loop.time() < until:
         proxy = rig.proxies[index]
@@ -73,7 +74,7 @@
 
 
 async def run_operation(rig, checker, rng, caller):
-    """One operation of a caller."""
+    """Run one random operation of a caller."""
     kind = rng.choices(["read", "write", "tx", "set", "prepared"], [8, 4, 4, 1, 2])[0]
     if kind == "set":
         name, value = rng.choice("abc"), str(rng.randint(0, 2))
@@ -91,7 +92,7 @@
 
 
 async def read(rig, checker, caller, text):
-    """A single read."""
+    """Run a single read."""
     checker.reads[caller.next_request] = SentRead(
         at=rig.loop.clock(), session=caller.number, rule=caller.session.route.rule
     )
@@ -99,7 +100,7 @@
 
 
 async def write(rig, checker, caller):
-    """A single write of data that nobody else writes."""
+    """Run a single write of data that nobody else writes."""
     data = caller.next_request
     reply = await caller.send(f"WRITE {data} {data}")
     if reply.ok:
@@ -111,7 +112,7 @@
 
 
 async def transaction(rig, checker, rng, caller):
-    """A transaction of some statements, with pauses."""
+    """Run a transaction of up to four statements with pauses."""
     writing = rng.random() < 0.6
     began = rig.loop.clock()
     await caller.send("BEGIN" if writing else "BEGIN READ")
@@ -150,7 +151,7 @@
         checker.promised += wrote
 
 
-# What may happen. Seeds that showed a fault rest on the order of these.
+# Names of FaultInjector methods. The seeds in test_chaos.py depend on their order.
 BASIC_FAULTS = (
     "unresponsive",
     "crash",
@@ -169,7 +170,7 @@
     "late_pause",
     "suspend",
 )
-# ... and with gaps in the list, new processes, full and leaving members as well.
+# Also an incomplete list, restarted daemons, and full or leaving members.
 EXTENDED_FAULTS = (
     *BASIC_FAULTS,
     "unlist_members",
@@ -178,7 +179,7 @@
     "exhaust_connections",
     "remove_member",
 )
-# ... and with owners and daemons that ask them, whose links fail.
+# Also failing links between owners and the daemons that forward to them.
 OWNER_FAULTS = (
     *EXTENDED_FAULTS,
     "freeze_daemon",
@@ -190,14 +191,14 @@
 )
 
 
-# ... and with callers that show keys, one of which comes and goes.
+# Also callers with keys, one of which is withdrawn and restored.
 KEY_FAULTS = (*OWNER_FAULTS, "withdraw_key", "withdraw_key")
 LASTING_KEY = "key-north"
 KEYS = {"north": ["key-north"], "south": ["key-south"], "east": ["key-east"]}
 
 
 class FaultInjector:
-    """Random faults, each inject after a while."""
+    """Injects random faults and undoes each after a while."""
 
     def __init__(self, *, rig, rng, faults):
         self.rig = rig
@@ -206,14 +207,14 @@
         self.joined = 0
 
     async def run(self, until):
-        """One fault after the other, overlapping."""
+        """Start faults at random intervals until a time; they may overlap."""
         while self.rig.loop.time() < until:
             fault = getattr(self, self.rng.choice(self.faults))
             asyncio.ensure_future(self.inject(fault))
             await asyncio.sleep(self.rng.random() * 2.5)
 
     async def inject(self, fault):
-        """A fault and its end."""
+        """Inject a fault, and undo it later if it lasts."""
         undo = fault()
         if undo is None:
             return
@@ -221,15 +222,15 @@
         undo()
 
     def any_member(self):
-        """Any member."""
+        """Return a random member."""
         return self.rng.choice(self.rig.group.members)
 
     def leader(self):
-        """The leader, or any member if nobody leads."""
+        """Return the leader, or a random member if there is none."""
         return self.rig.group.leader or self.any_member()
 
     def any_member_or_leader(self):
-        """The leader half of the time."""
+        """Return the leader half of the time, else a random member."""
         return self.leader() if self.rng.random() < 0.5 else self.any_member()
 
     def unresponsive(self):
@@ -239,7 +240,7 @@
         return lambda: setattr(member, "dark", False)
 
     def crash(self):
-        """A member crashes and comes back with its log."""
+        """A member crashes and restarts later with its log."""
         member = self.any_member_or_leader()
         if member.dead:
             return None
@@ -247,7 +248,7 @@
         return member.restart
 
     def partition_primary(self):
-        """The primary loses replicas, and perhaps some daemons."""
+        """The primary is cut off from all replicas, and perhaps from a daemon."""
         leader = self.leader()
         leader.cut_from.update(m.id for m in self.rig.group.members if m is not leader)
         if self.rng.random() < 0.5:
@@ -260,59 +261,59 @@
         return undo
 
     def replication_cut(self):
-        """A replica receives nothing."""
+        """A replica receives no log for a while."""
         member = self.any_member()
         member.deaf = True
         return lambda: setattr(member, "deaf", False)
 
     def lagging(self):
-        """A replica applies late."""
+        """A replica applies its log one second late."""
         member = self.any_member()
         member.lag = 1.0
         return lambda: setattr(member, "lag", 0.008)
 
     def cut_daemon_path(self):
-        """A daemon loses its path to a member."""
+        """A daemon's path to a member is cut."""
         self.rig.cut(self.rng.choice(self.rig.proxies), self.any_member().id)
         return self.restore_paths
 
     def restore_paths(self):
-        """All paths are there again; connections that went silent stay so."""
+        """Restore all paths; connections that have gone silent stay silent."""
         for proxy in self.rig.proxies:
             proxy.around.dialer.dialer.cut.clear()
 
     def silence_connections(self):
-        """Open connections to a member go silent for good."""
+        """Half of the open connections to a member give no more answers."""
         for conn in list(self.any_member().conns):
             if self.rng.random() < 0.5:
                 conn.silent = True
 
     def lose_answers(self):
-        """The next answers of a member are lost."""
+        """The next one to three answers of a member are lost."""
         self.any_member_or_leader().lose_answers = self.rng.randint(1, 3)
 
     def delay_promotion(self):
-        """The next order to promote is carried out late and not answered."""
+        """The next promotion order takes effect late and is not answered."""
         self.rig.promoter.delayed_orders.append(1.0 + self.rng.random() * 6)
 
     def store_down(self):
-        """The leases can't be read or taken."""
+        """The leases can't be read or acquired for a while."""
         self.rig.leases.down = True
         return lambda: setattr(self.rig.leases, "down", False)
 
     def lose_lease_answer(self):
-        """The next take of the lease is done and not answered."""
+        """The next acquisition of the lease succeeds without an answer."""
         self.rig.leases.lose_answers += 1
 
     def partition_primary_and_join(self):
-        """The primary loses replicas and a daemon; a new member comes just then."""
+        """The primary is cut off, and a new member joins during the takeover."""
         undo = self.partition_primary()
         loop = asyncio.get_running_loop()
         loop.call_later(0.7 + self.rng.random() * 1.5, self.join)
         return undo
 
     def crash_primary_with_stale_replica(self):
-        """The primary dies while one replica is behind and the other out of reach."""
+        """The primary is lost while one replica is behind and another unreachable."""
         behind, away = self.rng.sample(self.rig.group.replicas(), 2)
         behind.deaf = True
         loop, leader = asyncio.get_running_loop(), self.leader()
@@ -325,7 +326,7 @@
         return undo
 
     def join(self):
-        """A new member joins, listed a moment later."""
+        """A new member joins; it is listed shortly after. At most two join."""
         if self.joined >= 2:
             return
         self.joined += 1
@@ -333,35 +334,35 @@
         group.members.append(FakeMember(id=f"u{len(group.members) + 1}", group=group))
 
     def late_pause(self):
-        """An order to pause of long ago is carried out."""
+        """An old order to pause replication takes effect."""
         for replica in self.rig.group.replicas():
             replica.paused = self.rig.group.term + 1
 
     def unlist_members(self):
-        """Some entries are off the list for a moment, though their members live."""
+        """All entries but one vanish for 1.5 s although their members are alive."""
         members = self.rig.group.members
         away = {item.id for item in self.rng.sample(members, len(members) - 1)}
         self.rig.group.unlisted |= away
         asyncio.get_running_loop().call_later(1.5, self.relist_members, away)
 
     def relist_members(self, away):
-        """The entries are back, as new ones."""
+        """The entries return with new revisions."""
         for name in away:
             self.rig.group[name].joined = self.rig.group.next_revision()
         self.rig.group.unlisted -= away
 
     def restart_daemon(self):
-        """A daemon is killed and starts anew with what the store has."""
+        """A daemon is killed and restarts with the data of the store."""
         self.restart_process(self.rng.randrange(len(self.rig.proxies)))
 
     def unlist_and_restart_all(self):
-        """All daemons start anew while the list has gaps."""
+        """All daemons restart while the list is incomplete."""
         self.unlist_members()
         for index in range(len(self.rig.proxies)):
             self.restart_process(index)
 
     def restart_process(self, index):
-        """Put a new process at a daemon's index."""
+        """Replace a daemon by a new process, unless the store is down."""
         if self.rig.leases.down:
             return
         old = self.rig.proxies[index]
@@ -379,13 +380,13 @@
         start_maintenance(proxy)
 
     def exhaust_connections(self):
-        """A member takes no further connection for a while."""
+        """A member accepts no further connections for a while."""
         member = self.any_member_or_leader()
         member.limit = len(member.conns)
         return lambda: setattr(member, "limit", 100)
 
     def remove_member(self):
-        """A member leaves, and is gone with its log; a new one has come before."""
+        """A member leaves, and ends after 7 s with its log; at least three stay."""
         stay = [item for item in self.rig.group.members if not item.leaving]
         if len(stay) < 4:
             return
@@ -394,7 +395,7 @@
         asyncio.get_running_loop().call_later(7.0, self.end_member, member)
 
     def end_member(self, member):
-        """The member that was leaving ends."""
+        """End a leaving member; a leader only crashes and stays in the group."""
         if member is self.rig.group.leader:
             member.crash()
             return
@@ -403,7 +404,7 @@
         self.rig.group.departed.append(member)
 
     def freeze_daemon(self):
-        """A daemon stands still: it reads its links when it goes on."""
+        """A daemon is paused for a while; it reads its links when it resumes."""
         name = self.rng.choice(self.rig.proxies).name
         if name in self.rig.links.frozen:
             return None
@@ -411,13 +412,13 @@
         return lambda: self.rig.links.thaw(name)
 
     def cut_links(self):
-        """Two daemons lose each other, and nothing tells them."""
+        """The link between two daemons is cut without notice."""
         pair = frozenset(item.name for item in self.rng.sample(self.rig.proxies, 2))
         self.rig.links.cut.add(pair)
         return lambda: self.rig.links.cut.discard(pair)
 
     def kill_daemon(self):
-        """A daemon is killed with its links, and starts anew."""
+        """A daemon is killed with its links, and restarts."""
         index = self.rng.randrange(len(self.rig.proxies))
         name = self.rig.proxies[index].name
         self.rig.links.kill(name)
@@ -425,22 +426,22 @@
         return lambda: self.rig.links.dead.discard(name)
 
     def drain_daemon(self):
-        """A daemon leaves: it takes no new work and ends what waits."""
+        """A daemon announces a drain, and ends waiting transactions after 1 s."""
         proxy = self.rng.choice(self.rig.proxies)
-        for desk in list(proxy.peer_handlers):
-            desk.tell_leaving()
+        for handler in list(proxy.peer_handlers):
+            handler.tell_leaving()
         loop = asyncio.get_running_loop()
-        for desk in list(proxy.peer_handlers):
-            loop.call_later(1.0, desk.end_waiting)
+        for handler in list(proxy.peer_handlers):
+            loop.call_later(1.0, handler.end_waiting)
 
     def withdraw_key(self):
-        """A workspace loses its key, at each daemon at another moment."""
+        """A workspace's key is withdrawn, on each daemon at a different time."""
         name = self.rng.choice(sorted(KEYS))
         self.offer_keys({**KEYS, name: []})
         return lambda: self.offer_keys(KEYS)
 
     def offer_keys(self, keys):
-        """A new version comes into force, soon on most daemons and late on some."""
+        """Offer a new configuration to each daemon after a random delay up to 2 s."""
         self.rig.version += 1
         made = self.rig.configured(self.rig.version, keys)
         loop = asyncio.get_running_loop()
@@ -449,19 +450,19 @@
             loop.call_later(delay, proxy.offer_catalog, made, "test")
 
     def suspend(self):
-        """The machine is suspended: the steady clock stands still meanwhile."""
+        """The machine is suspended for up to 3 s; the loop's time excludes them."""
         self.rig.loop.suspended += self.rng.random() * 3
 
 
 def start_maintenance(proxy):
-    """Start what a daemon does all the time."""
+    """Start a daemon's background loops."""
     proxy.keep_running(proxy.run_maintenance)
     proxy.keep_running(proxy.record_members)
     proxy.keep_running(proxy.refresh_leases)
 
 
 async def sync_member_lists(rig):
-    """All daemons see the list of members change, a moment late."""
+    """Update all daemons' member lists, records and leases every 0.3 s."""
     while True:
         await asyncio.sleep(0.3)
         for proxy in rig.proxies:
@@ -475,7 +476,7 @@
 async def run_chaos(
     seed, faults=BASIC_FAULTS, daemons=3, max_connections=34, keys=None
 ):
-    """One run; returns the broken promises and the rig."""
+    """Run one seed; returns the broken promises and the rig."""
     rng = Random(seed)
     rig = Rig(daemons=daemons, max_connections=max_connections, keys=keys)
     checker = Checker(rig=rig)
@@ -503,9 +504,9 @@
 
 
 async def write_periodically(rig, checker, seconds):
-    """A write every two seconds at each daemon: callers go on after the faults.
+    """Write through each daemon every two seconds, after the faults have ended.
 
-    A replica that an order of long ago has paused is only noticed by a write.
+    Only a write detects a replica that an old order has paused.
     """
     until = rig.loop.time() + seconds
     while rig.loop.time() < until:
@@ -537,7 +538,7 @@
 
 
 async def check_service(rig, checker):
-    """After all is well again, every daemon serves reads and writes."""
+    """Check that every daemon serves writes once the faults have ended."""
     for proxy in rig.proxies:
         caller: FakeCaller = rig.caller("own", proxy, LASTING_KEY)
         checker.values[caller.number] = {}
@@ -549,5 +550,5 @@
 
 
 def broken_promises(seed, faults=BASIC_FAULTS, **fleet):
-    """Run one seed; the list of what was broken."""
+    """Run one seed; returns the broken promises."""
     return run(run_chaos(seed, faults, **fleet))[0]
--- a/tests/sessions/test_drain.py
+++ b/tests/sessions/test_drain.py
@@ -1,4 +1,4 @@
-"""A daemon that is told to stop cuts nobody off."""
+"""Draining a daemon interrupts no caller."""
 
 import asyncio
 
@@ -63,10 +63,10 @@
 
 
 def test_a_transaction_that_takes_longer_is_told_so_and_not_cut():
-    """Symptom: a statement is read and its connection closed without an answer.
+    """Guards against a statement that is read but never answered.
 
-    Sequence: the drain rolls a transaction back, the caller's next statement comes
-    while it does. Cause: the connection was closed once the rollback was done.
+    The caller's statement arrives while the drain rolls its transaction back; the
+    connection must not be closed once the rollback is done.
     """
 
     async def main():
@@ -89,11 +89,11 @@
 
 
 def test_a_statement_that_meets_the_end_of_its_transaction_opens_no_other():
-    """Symptom: a statement runs outside its client's transaction.
+    """Guards against a statement that runs outside its caller's transaction.
 
-    Sequence: an idle transaction is being rolled back, which takes a round trip; the
-    caller's next statement arrives meanwhile. Cause: the session still counted as in
-    a transaction, found no connection, and opened a new one.
+    It arrives during the round trip in which an idle transaction is rolled back. If the
+    session still counted as in a transaction, it would find no connection and open a
+    new transaction.
     """
 
     async def main():
--- a/tests/sessions/test_events.py
+++ b/tests/sessions/test_events.py
@@ -1,4 +1,4 @@
-"""Structured logs: complete, bounded, never waiting."""
+"""Structured logs: JSON lines, the rate limit, and slow or missing readers."""
 
 import json
 import os
@@ -7,18 +7,18 @@
 
 
 class Lines:
-    """Takes what would be written."""
+    """Records the events of a writer instead of logging them."""
 
     def __init__(self, writer):
         self.lines = []
         writer.emit = self.emit
 
     def emit(self, part, event, fields):
-        """One line."""
+        """Record one event."""
         self.lines.append((part, event, fields))
 
 
-def test_a_burst_over_the_budget_is_dropped_counted_and_told():
+def test_lines_over_the_rate_limit_are_dropped_counted_and_reported():
     now = [10.0]
     writer = EventWriter(daemon="d", clock=lambda: now[0], lines_per_second=5)
     lines = Lines(writer).lines
@@ -31,11 +31,10 @@
     assert lines[6][1] == "after"
 
 
-def test_a_reader_that_stops_holds_nobody_up():
-    """Symptom: a daemon stands still with all its callers.
+def test_reader_that_stops_does_not_block_the_writer():
+    """Guards against a daemon that hangs with all its callers.
 
-    Sequence: whoever reads its output stops, the pipe fills, the next line is
-    written. Cause: writing to a full pipe waits.
+    When the reader of its output stops and the pipe is full, a blocking write waits.
     """
     read_end, write_end = os.pipe()
     stream = BoundedStream(descriptor=write_end, backlog_bytes=1000)
@@ -50,7 +49,7 @@
     os.close(write_end)
 
 
-def test_a_reader_that_is_gone_is_no_error():
+def test_closed_reader_is_no_error():
     read_end, write_end = os.pipe()
     os.close(read_end)
     stream = BoundedStream(descriptor=write_end)
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -1,4 +1,4 @@
-"""Owners that are told to stop while other daemons send them statements."""
+"""Draining owners while other daemons forward statements to them."""
 
 import asyncio
 from random import Random
@@ -17,12 +17,12 @@
 from tests.sessions.vclock import run
 
 GRACE = 6.0
-# After this a daemon that stops is known to all that look, seconds.
+# Seconds after which every peer knows that a daemon drains.
 NOTICED = 2.5
 
 
 async def make_rig(**fleet):
-    """Daemons of which some own the group, with all that they do all the time."""
+    """Return daemons, some of which own the group, with maintenance running."""
     rig = await owners_rig(**fleet)
     for proxy in rig.proxies:
         proxy.keep_running(proxy.run_maintenance)
@@ -30,17 +30,17 @@
 
 
 def pair(rig):
-    """A daemon that owns nothing, and the owner that it asks first."""
+    """Return a daemon that owns no group, and the owner that it asks first."""
     return rig.others()[0], rig.links.proxies[first_owner(rig)]
 
 
 def start_drain(proxy):
-    """Tell a daemon to stop; the task ends when its process would."""
+    """Start a drain; its task ends when the process would."""
     return asyncio.create_task(drain(proxy, plan_for(GRACE), lambda: None))
 
 
 def restart(rig, proxy):
-    """End a daemon's process and start another one at its place."""
+    """Replace a daemon by a new process."""
     proxy.stop()
     rig.links.reset(proxy.name)
     names = [item.name for item in rig.proxies]
@@ -50,10 +50,10 @@
     return fresh
 
 
-async def leave_unheard(rig):
-    """An owner that leaves, whose word of it is late at the daemon that asks it.
+async def drain_unnoticed(rig):
+    """Drain an owner so that the daemon that asks it learns of the drain late.
 
-    Returns that daemon, the owner, and the task that ends with the owner's process.
+    Returns that daemon, the owner, and the drain's task.
     """
     other, owner = pair(rig)
     link = await other.peers.link(owner.name, 0.4)
@@ -63,11 +63,10 @@
     return other, owner, draining
 
 
-def test_a_link_opened_after_a_drain_began_hears_of_it():
-    """Symptom: transactions are opened at a daemon that stops, and rolled back.
+def test_link_opened_during_a_drain_is_told_of_it():
+    """Guards against transactions that are opened at a draining daemon and rolled back.
 
-    Sequence: a daemon is told to stop, another one opens a link to it a moment later.
-    Cause: only the links that were open when it was told heard that it leaves.
+    A link that is opened after the drain began has to be told of it, too.
     """
 
     async def main():
@@ -83,12 +82,11 @@
     run(main())
 
 
-def test_a_daemon_that_leaves_is_asked_over_the_link_that_told_so():
-    """Symptom: a daemon that stops counts as a good owner again.
+def test_draining_daemon_is_asked_over_the_link_that_announced_it():
+    """Guards against a draining daemon that counts as a good owner again.
 
-    Sequence: a peer hears that it leaves, and asks it whether it knows the leader.
-    Cause: the link that had told of it was taken for unusable, and a new one opened in
-    its place, which heard nothing.
+    A peer that knows of the drain asks it whether it knows the leader. Opening a new
+    link for that would lose what the old link had announced.
     """
 
     async def main():
@@ -104,8 +102,8 @@
     run(main())
 
 
-def test_a_link_that_takes_the_place_of_a_broken_one_hears_of_a_drain():
-    """Symptom and cause as above; the link that had heard of it was reset."""
+def test_link_that_replaces_a_broken_one_is_told_of_a_drain():
+    """Guards against the same after the link that announced the drain was reset."""
 
     async def main():
         rig = await make_rig()
@@ -122,18 +120,17 @@
     run(main())
 
 
-def test_a_transaction_that_comes_after_the_notice_goes_to_another_owner():
-    """Symptom: a transaction of two statements is told as rolled back at its second.
+def test_transaction_after_the_notice_period_goes_to_another_owner():
+    """Guards against a transaction that is rolled back at its second statement.
 
-    Sequence: the word that an owner leaves is late; a peer sends it the first statement
-    of a transaction 2.5 s after it was told to stop, and the second one a moment after
-    the owner has ended what waits. Cause: an owner that leaves opened transactions for
-    others until its end.
+    The announcement of a drain is late: a peer sends the owner the first statement of a
+    transaction 2.5 s into the drain, and the second after the owner has ended waiting
+    transactions. A draining owner must not open transactions for others until its end.
     """
 
     async def main():
         rig = await make_rig()
-        other, owner, draining = await leave_unheard(rig)
+        other, owner, draining = await drain_unnoticed(rig)
         caller, name = await open_transaction(rig)
         assert name != owner.name
         await asyncio.sleep(1.0)
@@ -143,12 +140,12 @@
     run(main())
 
 
-def test_no_transaction_is_sent_to_a_daemon_that_opens_none_any_more():
-    """Symptom: a transaction's first statement is lost, and told as rolled back.
+def test_no_transaction_is_sent_to_a_daemon_that_opens_none():
+    """Guards against a lost first statement that is reported as rolled back.
 
-    Sequence: all daemons leave but for some that have just started; one of those that
-    leave is asked to open a transaction at the moment at which its process ends. Cause:
-    it was asked although it had said that it leaves, and opens none.
+    All daemons drain except some that have just started, and one of the draining ones
+    is asked to open a transaction just as its process ends. A daemon that has announced
+    a drain opens none, so it must not be asked.
     """
 
     async def main():
@@ -160,8 +157,8 @@
                 start_drain(proxy)
         await asyncio.sleep(NOTICED)
         asked = []
-        for desk in [desk for proxy in rig.proxies for desk in proxy.peer_handlers]:
-            desk.take = asked.append
+        for handler in [item for proxy in rig.proxies for item in proxy.peer_handlers]:
+            handler.take = asked.append
         caller = rig.caller("own", other)
         await caller.send("BEGIN")
         sending = asyncio.create_task(caller.send("WRITE a 1"))
@@ -174,22 +171,22 @@
     run(main())
 
 
-def test_a_single_statement_that_comes_after_the_notice_runs_elsewhere():
+def test_single_statement_after_the_notice_period_runs_on_another_owner():
     async def main():
         rig = await make_rig()
-        other, owner, draining = await leave_unheard(rig)
+        other, owner, draining = await drain_unnoticed(rig)
         assert (await rig.caller("own", other).send("WRITE a 1")).ok
-        assert not any(desk.tasks for desk in owner.peer_handlers)
+        assert not any(handler.tasks for handler in owner.peer_handlers)
         await draining
 
     run(main())
 
 
-def test_a_daemon_that_leaves_serves_single_statements_that_nobody_else_can():
-    """Symptom: callers are refused although one daemon that they reach could serve.
+def test_draining_daemon_serves_single_statements_that_no_other_can():
+    """Guards against refusals although a reachable daemon could serve.
 
-    Sequence: an owner leaves while no other daemon can be reached. Cause: it refuses
-    what only it can run.
+    An owner drains while no other daemon can be reached; it must not refuse statements
+    that only it can run.
     """
 
     async def main():
@@ -206,7 +203,7 @@
     run(main())
 
 
-def test_an_open_transaction_at_an_owner_that_leaves_goes_on_to_its_commit():
+def test_open_transaction_at_a_draining_owner_can_commit():
     async def main():
         rig = await make_rig()
         caller, owner = await open_transaction(rig)
@@ -219,11 +216,11 @@
     run(main())
 
 
-def test_a_transaction_may_use_most_of_the_grace():
-    """Symptom: transactions are rolled back halfway through a daemon's grace.
+def test_transaction_may_use_most_of_the_grace_period():
+    """Guards against transactions that are rolled back halfway through the grace.
 
-    Sequence: a transaction whose caller pauses is open when its owner is told to stop,
-    and commits four of six seconds later. Cause: half of the grace was not used.
+    The transaction is open when its owner starts to drain, its caller pauses, and it
+    commits four seconds into a grace period of six.
     """
 
     async def main():
@@ -239,8 +236,8 @@
     run(main())
 
 
-def test_callers_of_a_daemon_that_leaves_end_their_transactions_at_an_owner():
-    """The daemon that leaves owns nothing: its callers' transactions are elsewhere."""
+def test_callers_of_a_draining_daemon_can_commit_at_an_owner():
+    """The draining daemon owns no group: its callers' transactions are at an owner."""
 
     async def main():
         rig = await make_rig()
@@ -260,12 +257,11 @@
     run(main())
 
 
-def test_a_statement_that_runs_at_the_end_of_the_grace_is_answered():
-    """Symptom: a statement was read and its connection closed without an answer.
+def test_statement_running_at_the_end_of_the_grace_period_is_answered():
+    """Guards against a statement that is read but never answered.
 
-    Sequence: a caller of a daemon that leaves sends a statement to an upstream that has
-    gone silent; the process ends before the statement's own time is up. Cause: the
-    statement's deadline lay beyond the end of the grace.
+    During the drain it is sent to an upstream that has stopped answering, and its own
+    deadline is later than the end of the grace period.
     """
 
     async def main():
@@ -286,11 +282,11 @@
     run(main())
 
 
-def test_a_daemon_that_starts_again_is_asked_once_it_knows_the_leader():
-    """Symptom: statements take until their deadline beside owners that could run them.
+def test_restarted_owner_is_asked_once_it_knows_the_leader():
+    """Guards against statements that time out although other owners could run them.
 
-    Sequence: an owner restarts and cannot prove the leader yet; a peer asks it first,
-    as before. Cause: it took the statement and waited for the proof.
+    A peer first asks an owner that has restarted and cannot prove the leader yet; the
+    owner must not accept the statement and wait for the proof.
     """
 
     async def main():
@@ -307,11 +303,11 @@
     run(main())
 
 
-def test_the_next_owners_are_ready_when_all_owners_leave_at_once():
-    """Symptom: the first statements after a roll wait for connections and a proof.
+def test_next_owners_are_ready_when_all_owners_drain_at_once():
+    """Guards against first statements that wait for connections and a proof.
 
-    Sequence: all three owners of a group are told to stop within a moment. Cause: those
-    that stand in for them hold nothing until the first statement asks them to.
+    All three owners of a group drain at once. Their replacements have to connect before
+    the first statement arrives.
     """
 
     async def main():
@@ -331,8 +327,8 @@
     run(main())
 
 
-def test_one_owner_that_leaves_makes_nobody_else_open_connections():
-    """The counterpart: the owners that stay have connections enough."""
+def test_one_draining_owner_makes_no_other_daemon_open_connections():
+    """One draining owner needs no replacement: the others have enough connections."""
 
     async def main():
         rig = await make_rig()
@@ -343,16 +339,16 @@
     run(main())
 
 
-# A roll: 74 daemons, four owners, four leave at once, all owners among them.
+# A rolling restart: 74 daemons, four at a time, all four owners in the first batch.
 FLEET = 74
-ROLLED_AT_ONCE = 4
+BATCH_SIZE = 4
 PAUSES = (0.05, 0.6)
-# The daemons have run for longer when the roll begins, seconds.
-WARM_AFTER = 5.0
+# Seconds that the daemons run before the restart begins.
+WARM_UP_SECONDS = 5.0
 
 
 async def transactions(rig, proxy, rng, until, told):
-    """Transactions of three statements with pauses, one after the other."""
+    """Run transactions of three statements with pauses, one after the other."""
     caller = rig.caller("own", proxy)
     while rig.loop.time() < until:
         began = rig.loop.time()
@@ -366,8 +362,8 @@
             await caller.send("ROLLBACK")
 
 
-async def roll(rig, batches):
-    """Stop and start daemons, a batch at a time."""
+async def rolling_restart(rig, batches):
+    """Drain and restart daemons, a batch at a time."""
     for batch in batches:
         await asyncio.gather(*(start_drain(proxy) for proxy in batch))
         for proxy in batch:
@@ -375,27 +371,27 @@
         await asyncio.sleep(0.5)
 
 
-def test_a_roll_ends_no_transaction_that_was_opened_during_it():
-    """Symptom: while daemons are rolled, callers are refused work that ran.
+def test_rolling_restart_ends_no_transaction_opened_during_it():
+    """Guards against refusals of work that ran, during a rolling restart.
 
-    Sequence: four of 74 daemons are stopped at once, all owners of a group among them,
-    while callers of others run transactions. Cause: daemons that stop took new
-    transactions, and rolled them back half a grace later.
+    Four of 74 daemons drain at once, all owners of a group, while callers of others run
+    transactions. Draining daemons must not accept new transactions that they would roll
+    back half a grace period later.
     """
 
     async def main():
         rig = await make_rig(daemons=FLEET, max_connections=34)
         owners = rig.owners()
-        assert len(owners) == ROLLED_AT_ONCE
-        await asyncio.sleep(WARM_AFTER)
-        rolled = [owners, rig.others()[:ROLLED_AT_ONCE]]
-        callers = rig.others()[ROLLED_AT_ONCE : ROLLED_AT_ONCE + 20]
+        assert len(owners) == BATCH_SIZE
+        await asyncio.sleep(WARM_UP_SECONDS)
+        batches = [owners, rig.others()[:BATCH_SIZE]]
+        callers = rig.others()[BATCH_SIZE : BATCH_SIZE + 20]
         until, told = rig.loop.time() + 12.0, []
         running = [
             asyncio.create_task(transactions(rig, proxy, Random(n), until, told))
             for n, proxy in enumerate(callers)
         ]
-        await roll(rig, rolled)
+        await rolling_restart(rig, batches)
         await asyncio.gather(*running)
         assert len(told) > 150
         assert [item for item in told if item[1] is not None] == []
@@ -403,11 +399,11 @@
     run(main())
 
 
-def test_a_statement_of_a_transaction_that_an_owner_has_ended_is_told_so():
-    """Symptom: COMMIT of a transaction that is gone is answered as busy.
+def test_commit_of_a_transaction_that_an_owner_has_ended_is_aborted():
+    """Guards against a COMMIT that is answered as busy after its transaction ended.
 
-    Sequence: an owner that leaves has ended a transaction and forgotten it; its next
-    statement comes. Cause: what is not known was taken for new work, and declined.
+    A draining owner has ended the transaction and no longer knows it; it must not treat
+    the next statement as new work and decline it.
     """
 
     async def main():
@@ -416,8 +412,8 @@
         owner = rig.links.proxies[name]
         start_drain(owner)
         await asyncio.sleep(NOTICED)
-        for desk in owner.peer_handlers:
-            desk.held.clear()
+        for handler in owner.peer_handlers:
+            handler.held.clear()
         assert (await caller.send("COMMIT")).refusal is Refusal.ABORTED
         assert rig.group.acknowledged == []
 
--- a/tests/sessions/test_metrics.py
+++ b/tests/sessions/test_metrics.py
@@ -1,4 +1,4 @@
-"""Who answers reads shows in the metrics."""
+"""Session metrics: reads, store calls, drained transactions and workspaces."""
 
 import asyncio
 
@@ -16,17 +16,17 @@
 
 
 def counted(metrics, rule, by):
-    """Reads counted for a rule and a role."""
+    """Return the reads counted for a rule and a role."""
     labels = {"database": rule, "rule": rule, "by": by}
     return metrics.reads.get(labels) if labels in all_labels(metrics) else 0
 
 
 def all_labels(metrics):
-    """All label sets of the counter of reads."""
+    """Return all label sets of the counter of reads."""
     return [labels for labels, _ in metrics.reads.get_all()]
 
 
-def test_reads_that_may_be_old_are_counted_at_replicas():
+def test_bounded_reads_are_counted_at_replicas():
     async def main():
         rig = Rig()
         metrics = SessionMetrics()
@@ -104,7 +104,7 @@
     assert "n1key" not in text + repr(rig.lines)
 
 
-def test_workspaces_beyond_the_bound_share_one_series():
+def test_workspaces_beyond_the_limit_share_one_series():
     metrics = SessionMetrics()
     route = catalog().routes["own"]
     for number in range(MAX_NAMED_WORKSPACES + 50):
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -21,7 +21,7 @@
     run(main())
 
 
-def test_calm_reads_go_to_replicas():
+def test_bounded_reads_go_to_replicas():
     async def main():
         rig = Rig()
         await rig.settle()
@@ -46,7 +46,7 @@
     run(main())
 
 
-def test_values_of_one_session_never_meet_another():
+def test_values_of_one_session_are_not_seen_by_another():
     async def main():
         rig = Rig()
         await rig.settle()
@@ -61,7 +61,7 @@
     run(main())
 
 
-def test_prepared_names_collide_between_sessions_without_harm():
+def test_sessions_may_prepare_different_statements_under_the_same_name():
     async def main():
         rig = Rig()
         await rig.settle()
@@ -78,7 +78,7 @@
     run(main())
 
 
-def test_a_transaction_holds_one_connection_and_commits_whole():
+def test_transaction_holds_one_connection_and_commits_atomically():
     async def main():
         rig = Rig()
         await rig.settle()
@@ -121,7 +121,7 @@
     run(main())
 
 
-def test_a_transaction_idle_for_too_long_is_rolled_back_and_told_so():
+def test_idle_transaction_is_rolled_back_and_the_caller_is_told():
     async def main():
         rig = Rig()
         await rig.settle()
--- a/tests/sessions/test_settings.py
+++ b/tests/sessions/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: checked, with errors that name the place."""
+"""Settings: validated, with errors that name the field."""
 
 import json
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "place"),
+    ("change", "field"),
     [
         ({"callers": "nowhere"}, "callers"),
         ({"daemon": ""}, "daemon"),
@@ -41,8 +41,8 @@
         ({"all_watch_up_to": -1}, "all_watch_up_to"),
     ],
 )
-def test_errors_name_the_place(tmp_path, change, place):
-    with pytest.raises(SettingsError, match=place):
+def test_errors_name_the_field(tmp_path, change, field):
+    with pytest.raises(SettingsError, match=field):
         load(tmp_path, {**GOOD, **change})
 
 
--- a/tests/sessions/test_workspaces.py
+++ b/tests/sessions/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Callers' keys: who is let in, in whose name statements run, when a key ends."""
+"""Callers' keys: authentication, workspaces of statements, withdrawal of keys."""
 
 import asyncio
 
@@ -16,41 +16,41 @@
 WITHOUT_N1 = {"north": ["n2"], "south": ["s1"]}
 
 
-class Names:
-    """Keeps in whose name each caller's statement ran."""
+class WorkspaceRecorder:
+    """Records the workspace in whose name each caller's statement ran."""
 
     def __init__(self):
         self.ran = []
 
     def statement_ran(self, conn, request):
-        """An upstream ran a caller's statement."""
+        """Record a statement that an upstream ran."""
         self.ran.append((request, conn.workspace))
 
     def read_ran(self, member, request):
-        """An upstream ran a read: that is in `ran` already."""
+        """Ignore a read: `statement_ran` has recorded it."""
 
 
 async def keyed_rig(**fleet):
-    """Daemons whose callers show keys, and the names in which statements ran."""
+    """Return daemons whose callers need keys, with a recorder of workspaces."""
     rig = Rig(keys=KEYS, **fleet)
-    rig.group.watch = Names()
+    rig.group.watch = WorkspaceRecorder()
     await rig.settle()
     return rig
 
 
 async def owners_rig():
-    """The same with daemons that send statements to owners."""
+    """Return such daemons, some of which forward statements to owners."""
     return await keyed_rig(daemons=DAEMONS, max_connections=FEW)
 
 
 def withdraw(rig, *proxies, version=2, keys=None):
-    """Bring a configuration without a key into force at some daemons."""
+    """Apply a configuration without a key on some daemons, by default on all."""
     for proxy in proxies or rig.proxies:
         proxy.offer_catalog(rig.configured(version, keys or WITHOUT_N1), "test")
 
 
 @pytest.mark.parametrize("key", ["", "N1", "n1 ", "north", "n", "x" * 100_000, "\xff"])
-def test_who_shows_no_known_key_is_not_let_in(key):
+def test_unknown_key_gets_no_session(key):
     async def main():
         rig = await keyed_rig()
         assert rig.proxy.open_session("own", digest_of(key.encode())) is None
@@ -58,7 +58,7 @@
     run(main())
 
 
-def test_the_refusal_ends_the_connection_and_says_why():
+def test_unknown_key_closes_the_connection_and_is_logged():
     async def main():
         rig = await keyed_rig()
         with pytest.raises(AssertionError):
@@ -82,10 +82,10 @@
 
 
 def test_statements_run_in_the_name_of_their_callers_workspace():
-    """Symptom: an upstream runs one workspace's statement in another one's name.
+    """Guards against a statement that runs in the name of another workspace.
 
-    Sequence: connections of two workspaces are idle, one calls. Cause: a connection
-    was taken for its values, whoever it had been opened for.
+    With idle connections of two workspaces, one chosen only by its session values may
+    have been opened for the other workspace.
     """
 
     async def main():
@@ -103,7 +103,7 @@
     run(main())
 
 
-def test_by_way_of_owners_they_do_so_too():
+def test_forwarded_statements_run_in_the_name_of_their_callers_workspace():
     async def main():
         rig = await owners_rig()
         for key, name in (("n1", "north"), ("s1", "south"), ("n2", "north")):
@@ -131,10 +131,10 @@
 
 
 def test_an_open_transaction_is_rolled_back_with_its_key():
-    """Symptom: a caller whose key was withdrawn goes on writing for seconds.
+    """Guards against a caller that goes on writing after its key was withdrawn.
 
-    Sequence: it has a transaction open, its key is withdrawn, it pauses, then writes
-    and commits. Cause: a key was looked at when the session opened, and never again.
+    It has a transaction open, pauses, then writes and commits. A key that is checked
+    only when the session opens would allow that.
     """
 
     async def main():
@@ -168,11 +168,11 @@
     run(main())
 
 
-def test_a_statement_that_waits_when_its_key_goes_is_not_run():
-    """Symptom: an upstream runs a statement seconds after its key was withdrawn.
+def test_queued_statement_is_not_run_after_its_key_was_withdrawn():
+    """Guards against a statement that runs seconds after its key was withdrawn.
 
-    Sequence: statements wait for their turns, the key goes meanwhile, their turns come.
-    Cause: the key was looked at when the statement came, and not when it was sent.
+    The key is withdrawn while the statement is queued, so it has to be checked again
+    when the statement is sent.
     """
 
     async def main():
@@ -195,11 +195,11 @@
 
 
 @pytest.mark.parametrize("text", ["READ a", "WRITE a 1"])
-def test_an_owner_that_knows_of_the_withdrawal_refuses_for_a_daemon_that_does_not(text):
-    """Symptom: callers go on for as long as the store turns their daemon away.
+def test_owner_refuses_a_withdrawn_key_that_the_callers_daemon_still_accepts(text):
+    """Guards against callers that keep access while the store refuses their daemon.
 
-    Sequence: a key is withdrawn, the owners hear of it, the daemon that took the caller
-    in does not. Cause: only that daemon judged.
+    The owners learn that a key was withdrawn, the caller's daemon does not; so owners
+    have to check the key as well.
     """
 
     async def main():
@@ -216,7 +216,7 @@
     run(main())
 
 
-def test_an_owner_rolls_back_a_transaction_whose_key_went():
+def test_owner_rolls_back_a_transaction_whose_key_was_withdrawn():
     async def main():
         rig = await owners_rig()
         caller = rig.caller(proxy=rig.others()[0], key="n1")
@@ -230,11 +230,11 @@
     run(main())
 
 
-def test_an_owner_that_is_behind_trusts_who_knows_a_newer_configuration():
-    """Symptom: a caller whose key was just added is refused at random.
+def test_owner_with_an_older_configuration_accepts_a_newer_credential():
+    """Guards against random refusals of a key that was just added.
 
-    Sequence: its daemon has the new configuration, the owner not yet. Cause: the owner
-    judged by its own.
+    The caller's daemon has the new configuration, the owner not yet; the owner must not
+    decide by its older one.
     """
 
     async def main():
@@ -249,7 +249,7 @@
     run(main())
 
 
-def test_a_key_that_comes_back_works_again():
+def test_restored_key_works_again():
     async def main():
         rig = await keyed_rig()
         withdraw(rig)
@@ -260,7 +260,7 @@
     run(main())
 
 
-def test_a_key_that_changes_hands_ends_the_sessions_of_its_old_workspace():
+def test_key_moved_to_another_workspace_ends_the_sessions_of_the_old_one():
     async def main():
         rig = await keyed_rig()
         caller = rig.caller(key="n1")
@@ -272,7 +272,7 @@
     run(main())
 
 
-def test_sessions_outlive_a_configuration_that_leaves_their_key():
+def test_sessions_survive_a_configuration_that_keeps_their_key():
     async def main():
         rig = await keyed_rig()
         caller = rig.caller(key="n2")
@@ -284,7 +284,7 @@
     run(main())
 
 
-def test_a_workspace_uses_its_connections_again():
+def test_workspace_reuses_its_connections():
     async def main():
         rig = await keyed_rig()
         dialer = rig.proxy.around.dialer.dialer
@@ -298,11 +298,11 @@
     run(main())
 
 
-def test_a_workspace_that_lacks_a_connection_displaces_an_idle_one():
-    """Symptom: with more workspaces than connections the last ones get no answer.
+def test_workspace_without_a_connection_displaces_an_idle_one():
+    """Guards against workspaces without answers when they outnumber the connections.
 
-    Sequence: each workspace calls once; connections to the primary are idle, all of
-    others, and none may be opened beyond the limit. Cause: idle ones were kept.
+    Each workspace calls once. At the connection limit all connections to the primary
+    are idle and belong to other workspaces, so one of them has to be closed.
     """
 
     async def main():
