--- a/tests/sessions/test_reach.py
+++ b/tests/sessions/test_reach.py
@@ -72,10 +72,10 @@
         rig.cut(cut, "u1")
         await asyncio.sleep(1.5)
         access = cut.access("db")
-        assert access.elsewhere() is not None
+        assert access.remote_access() is not None
         cut.around.dialer.dialer.cut.clear()
         await asyncio.sleep(1.0)
-        assert access.elsewhere() is None
+        assert access.remote_access() is None
         assert (await rig.caller("own", cut).send("WRITE a 1")).ok
 
     run(main())
@@ -149,7 +149,7 @@
         rig.cut(one, "u1")
         await asyncio.sleep(1.5)
         access = one.access("db")
-        assert access.elsewhere() is not None
+        assert access.remote_access() is not None
         rig.group["u1"].crash()
         other.groups["db"].watch.lose(rig.loop.clock())
         reply = await rig.caller("primary", one).send("WRITE a 1")
