--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -109,7 +109,7 @@
         self.peers = Peers(dialer=links, daemons=self.daemons, clock=clock, log=log)
         self.relay = Relay(
             clock=clock,
-            in_touch_for=tuning.in_touch_for,
+            in_touch_for=tuning.store_confirmation_time,
             watches=self.daemons.watches,
         )
         self.feed_follower = Following(
@@ -153,9 +153,9 @@
         if self.drain_state or self.catalog.version < 0:
             return False
         listed = self.members_known and self.lease_view.known_to >= 0
-        return listed and not self.cut_off()
+        return listed and not self.is_partitioned()
 
-    def cut_off(self):
+    def is_partitioned(self):
         """Return whether most of a group that this daemon owns is out of its reach."""
         return any(group.watch.cut_off() for group in self.groups.values())
 
--- a/packages/sessions/gypsum_sessions/tuning.py
+++ b/packages/sessions/gypsum_sessions/tuning.py
@@ -97,10 +97,10 @@
     # A daemon opens fewer connections for this long after its start: for three more
     # seconds, upstreams still count connections of a host that lost power.
     startup_limit_duration: float = 4.0
-    # What a watcher of the store passes on counts as current for this long after the
+    # What a watcher of the store passes on counts as confirmed for this long after the
     # store's last answer: a watch ends after four seconds at the latest, and it takes
     # one more to detect that it is dead.
-    in_touch_for: float = 5.0
+    store_confirmation_time: float = 5.0
     # A member missing from the list is kept for this long, so that entries that the
     # store lost in an outage can come back.
     missing_grace: float = 2.5
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -129,7 +129,7 @@
         rig, follower, _ = await make_rig()
         first = followed(rig, follower)
         first.relay.touched = lambda name: None
-        await asyncio.sleep(first.tuning.in_touch_for + 1.5)
+        await asyncio.sleep(first.tuning.store_confirmation_time + 1.5)
         assert followed(rig, follower) is not first
         assert follower.feed_follower.current(FEED)
 
@@ -141,7 +141,7 @@
         rig, follower, watchers = await make_rig()
         for proxy in watchers:
             proxy.relay.touched = lambda name: None
-        await asyncio.sleep(watchers[0].tuning.in_touch_for + 1.5)
+        await asyncio.sleep(watchers[0].tuning.store_confirmation_time + 1.5)
         assert not follower.feed_follower.current(FEED)
 
     run(main())
