--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -1,113 +1,118 @@
-"""Leaving without cutting anyone off: the order of a graceful shutdown."""
+"""Graceful shutdown of a daemon: drains callers and the work of other daemons."""
 
 import asyncio
 from dataclasses import dataclass
 
 from gypsum_policy.draining import DrainPlan, accepts_work, session_share_to_close
-from gypsum_sessions.borders import Clock
 from gypsum_sessions.daemons.standins import StandIns
+from gypsum_sessions.interfaces import Clock
 from gypsum_sessions.replies import SessionState
 
 PART = "drain"
-# Pause between two looks, seconds.
-LOOK_EVERY = 0.05
+# How often the drain checks its progress, seconds.
+POLL_INTERVAL = 0.05
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Departure:
-    """A daemon's way out: its plan, and when it was told to stop."""
+class DrainState:
+    """The plan of a drain in progress, and when it started."""
 
     plan: DrainPlan
-    began: float
+    started_at: float
     clock: Clock
 
     @property
-    def passed(self):
-        """Seconds since the daemon was told to stop."""
-        return self.clock() - self.began
+    def elapsed(self):
+        """Seconds since the drain started."""
+        return self.clock() - self.started_at
 
     @property
-    def answer_by(self):
-        """When everything that runs has to be answered."""
-        return self.began + self.plan.answers_due
+    def answer_deadline(self):
+        """Time by which every running statement has to be answered."""
+        return self.started_at + self.plan.answers_due
 
     @property
     def opens_for(self):
-        """Seconds for which transactions of other daemons are still opened."""
-        return max(0.0, self.plan.notice_end - self.passed)
+        """Seconds for which other daemons may still open transactions here."""
+        return max(0.0, self.plan.notice_end - self.elapsed)
 
     @property
-    def closes_sessions(self):
-        """Tell whether a session is closed as soon as it waits for nothing."""
-        return self.passed >= self.plan.close_sessions_by
+    def closing_sessions(self):
+        """Whether a session is closed as soon as it is idle."""
+        return self.elapsed >= self.plan.close_sessions_by
 
-    def takes(self, *, opens, last_resort):
-        """Tell whether new work of another daemon is taken."""
+    def accepts(self, *, opens, last_resort):
+        """Return whether new work from another daemon is accepted."""
         return accepts_work(
-            self.plan, self.passed, opens_transaction=opens, last_resort=last_resort
+            self.plan, self.elapsed, opens_transaction=opens, last_resort=last_resort
         )
 
 
 async def drain(proxy, plan, stop_listening):
-    """Refuse readiness, let work end, close idle sessions, end."""
-    departure = Departure(plan=plan, began=proxy.clock(), clock=proxy.clock)
-    proxy.departure = departure
-    proxy.log(PART, "started", callers=len(proxy.callers), links=len(proxy.desks))
-    for desk in list(proxy.desks):
-        desk.tell_leaving()
+    """Drain the daemon: report not ready, finish running work, close idle sessions.
+
+    Returns once nothing is left to do, or the plan's time is over.
+    """
+    drain_state = DrainState(plan=plan, started_at=proxy.clock(), clock=proxy.clock)
+    proxy.drain_state = drain_state
+    proxy.log(
+        PART, "started", callers=len(proxy.callers), links=len(proxy.peer_handlers)
+    )
+    for handler in list(proxy.peer_handlers):
+        handler.tell_leaving()
     stand_ins = StandIns(proxy=proxy)
     listening = True
-    while departure.passed < plan.exit_by:
+    while drain_state.elapsed < plan.exit_by:
         stand_ins.look()
-        if listening and departure.passed >= plan.stop_listening_at:
+        if listening and drain_state.elapsed >= plan.stop_listening_at:
             listening = False
             stop_listening()
-        if departure.passed >= plan.roll_back_at:
-            await end_transactions(proxy)
-        if departure.passed >= plan.notice_end:
-            close_idle(
-                proxy, session_share_to_close(plan, departure.passed, LOOK_EVERY)
+        if drain_state.elapsed >= plan.roll_back_at:
+            await abort_waiting_transactions(proxy)
+        if drain_state.elapsed >= plan.notice_end:
+            close_idle_sessions(
+                proxy, session_share_to_close(plan, drain_state.elapsed, POLL_INTERVAL)
             )
-        if not listening and not proxy.callers and not owners_work(proxy):
+        if not listening and not proxy.callers and not serves_peers(proxy):
             break
-        await asyncio.sleep(LOOK_EVERY)
+        await asyncio.sleep(POLL_INTERVAL)
     proxy.log(
         PART,
         "ended",
         callers=len(proxy.callers),
-        ended_transactions=proxy.drain_ended,
+        ended_transactions=proxy.drain_rollbacks,
     )
 
 
-def close_idle(proxy, share):
-    """Close a share of the sessions that wait for nothing, at least one."""
+def close_idle_sessions(proxy, share):
+    """Close a share of the idle sessions, at least one."""
     idle = [caller for caller in proxy.callers if caller.idle]
     for caller in idle[: max(1, round(len(idle) * share))]:
-        caller.leave()
+        caller.close_idle()
 
 
-async def end_transactions(proxy):
-    """Roll back transactions that are open and wait for their callers.
+async def abort_waiting_transactions(proxy):
+    """Roll back open transactions that wait for their callers.
 
-    Their connections stay: the caller learns of it from the reply to its next
-    statement, and is closed once it has ended the transaction.
+    The connections stay open: the caller learns of the rollback from the reply to its
+    next statement, and its connection is closed once it has ended the transaction.
     """
     for caller in list(proxy.callers):
         session = caller.session
         waiting = session is not None and not session.running and not caller.busy
         if waiting and session.state is SessionState.IN_TRANSACTION:
-            proxy.drain_ended += 1
+            proxy.drain_rollbacks += 1
             proxy.log(
                 PART,
                 "transaction ended",
                 session=session.number,
                 request=session.last_request,
             )
-            await session.abort_open()
-    for desk in list(proxy.desks):
-        desk.end_waiting()
+            await session.abort_transaction()
+    for handler in list(proxy.peer_handlers):
+        handler.end_waiting()
 
 
-def owners_work(proxy):
-    """Tell whether other daemons' statements are worked on here."""
-    return any(desk.busy for desk in proxy.desks)
+def serves_peers(proxy):
+    """Return whether statements of other daemons are running on this one."""
+    return any(handler.busy for handler in proxy.peer_handlers)
--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -1,4 +1,4 @@
-"""One caller's session: its values, prepared statements, transaction and floor."""
+"""Sessions: run statements and keep values, prepared statements and transactions."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -21,8 +21,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Prepared:
-    """What a caller prepared under a name of its own."""
+class PreparedStatement:
+    """A statement that a caller prepared under a name of its choice."""
 
     shape: str
     writes: bool
@@ -30,13 +30,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Session:
-    """A session; `catalog` and `groups` are the daemon's, shared by all sessions.
-
-    `own_floor` is the position of the session's last commit. `last_active` is when
-    the last statement ended, `last_request` its id. `abort_untold`: we ended the
-    transaction and the caller has not heard of it. `leftovers` end when reads end that
-    still run after their reply, here or at an owner. `digest` is of the key that the
-    caller showed, `withdrawn` says that it counts no more.
+    """A caller's session: its values, prepared statements, transaction and floor.
+
+    `digest` is that of the caller's key; `withdrawn` is set once the key is no longer
+    valid. `own_floor` is the position of the session's last commit. `last_active` is
+    the time at which the last statement ended, `last_request` its id.
+    `abort_unreported` is set while the caller has yet to be told that the proxy rolled
+    its transaction back. `running_attempts` are tasks that end when reads end that are
+    still running after their reply, on this daemon or on an owner.
     """
 
     number: int
@@ -47,18 +48,18 @@
     credential: Credential = ANONYMOUS
     withdrawn: bool = False
     values: dict[str, str] = field(default_factory=dict)
-    prepared: dict[str, Prepared] = field(default_factory=dict)
+    prepared: dict[str, PreparedStatement] = field(default_factory=dict)
     state: SessionState = SessionState.IDLE
     tx: OpenTransaction | None = None
     own_floor: Position | None = None
     last_active: float = 0.0
     last_request: str = ""
-    abort_untold: bool = False
+    abort_unreported: bool = False
     running: bool = False
-    leftovers: set = field(default_factory=set)
+    running_attempts: set = field(default_factory=set)
 
     async def run(self, request, statement):
-        """Run one statement; returns the whole reply for the caller."""
+        """Run one statement; returns the complete reply for the caller."""
         clock = self.proxy.clock
         arrived = clock()
         self.running = True
@@ -66,25 +67,28 @@
         job = None
         try:
             if self.state is SessionState.FAILED:
-                reply = await self.run_failed(statement)
-            elif not self.let_in():
-                reply = await self.run_withdrawn()
+                reply = await self.run_in_failed_transaction(statement)
+            elif not self.renew_credential():
+                reply = await self.refuse_withdrawn()
             elif statement.kind in RUN_AT_UPSTREAM:
-                job, reply = await self.run_there(request, statement, arrived)
+                job, reply = await self.run_at_upstream(request, statement, arrived)
             elif statement.kind is StatementKind.COMMIT:
                 job, reply = await self.commit(request, statement, arrived)
             else:
-                reply = await self.run_here(request, statement, arrived)
+                reply = await self.run_locally(request, statement, arrived)
         finally:
             self.running = False
             self.last_active = clock()
-        self.proxy.requests.answered(self, request, statement, job, reply, arrived)
+        self.proxy.request_log.log_answer(self, request, statement, job, reply, arrived)
         return reply
 
     # The caller's key
 
-    def let_in(self):
-        """Tell whether the caller's key still counts, under the version in force."""
+    def renew_credential(self):
+        """Renew the credential under the configuration in force.
+
+        Returns False once the caller's key is not valid any more.
+        """
         if self.withdrawn:
             return False
         route = self.tx.route if self.tx else self.current_route() or self.route
@@ -93,17 +97,17 @@
         self.credential = renewed or self.credential
         return not self.withdrawn
 
-    async def run_withdrawn(self):
-        """Refuse a statement of a caller whose key counts no more; it has not run."""
+    async def refuse_withdrawn(self):
+        """Refuse a statement of a caller whose key was withdrawn; it has not run."""
         if self.tx is None:
             return self.refuse(Refusal.UNKNOWN_KEY, f"not run, {KEY_WITHDRAWN}")
         await self.end_transaction()
         return self.refuse(Refusal.ABORTED, f"rolled back, {KEY_WITHDRAWN}")
 
-    async def over_cap(self, request):
-        """The refusal of an operation beyond the workspace's cap; None if it may run.
+    async def check_cap(self, request):
+        """Return a refusal if the workspace is over its cap, or None.
 
-        Asked once for an operation, before it waits for anything else.
+        Called once for each operation, before it waits for anything else.
         """
         workspace = self.credential.workspace
         wait = await self.proxy.usage.leave(workspace) if workspace else 0.0
@@ -118,21 +122,21 @@
 
     # Statements that the proxy answers itself
 
-    async def run_here(self, request, statement, arrived):
-        """BEGIN, ROLLBACK and what belongs to the session alone."""
+    async def run_locally(self, request, statement, arrived):
+        """Run BEGIN, ROLLBACK and the statements that only concern the session."""
         match statement.kind:
             case StatementKind.BEGIN:
                 return await self.begin(request, statement, arrived)
             case StatementKind.ROLLBACK:
                 return await self.roll_back()
             case StatementKind.SET:
-                if not await self.reads_ended():
+                if not await self.wait_running_attempts():
                     return self.refuse(Refusal.BUSY, "not run, a read still runs")
                 self.values[statement.name] = statement.argument
                 if self.tx is not None:
                     self.tx.values_set = True
             case StatementKind.PREPARE:
-                self.prepared[statement.name] = Prepared(
+                self.prepared[statement.name] = PreparedStatement(
                     shape=statement.shape, writes=statement.writes
                 )
             case StatementKind.DEALLOCATE:
@@ -142,22 +146,22 @@
                 return self.refuse(Refusal.MALFORMED, "not a caller's statement")
         return Reply(state=self.state)
 
-    async def reads_ended(self):
-        """Wait for reads of this session that still run somewhere after their reply.
+    async def wait_running_attempts(self):
+        """Wait for attempts that still run after their read was answered.
 
-        Tell whether none does any more. What goes wrong without it: a slow upstream
-        runs one after the session's values have changed, with the old ones; also one
-        whose connection was closed, for it had received it before.
+        Returns whether all of them have ended. Otherwise a slow upstream could run such
+        a read with the old session values after they have changed; closing its
+        connection does not prevent that if it had already received the statement.
         """
-        running = {task for task in self.leftovers if not task.done()}
+        running = {task for task in self.running_attempts if not task.done()}
         if running:
-            patience = self.proxy.tuning.leftover_wait
-            _, running = await asyncio.wait(running, timeout=patience)
-        self.leftovers = running
+            timeout = self.proxy.tuning.running_attempt_wait
+            _, running = await asyncio.wait(running, timeout=timeout)
+        self.running_attempts = running
         return not running
 
     async def begin(self, request, statement, arrived):
-        """Begin a transaction under the route in force now."""
+        """Begin a transaction under the current route."""
         if self.tx is not None:
             return self.refuse(Refusal.MALFORMED, "a transaction is open already")
         route = self.current_route()
@@ -166,7 +170,7 @@
         access = self.proxy.access(route.group)
         if access is None:
             return self.refuse(Refusal.BUSY, "not run, the group is not known yet")
-        over_cap = await self.over_cap(request)
+        over_cap = await self.check_cap(request)
         if over_cap is not None:
             return over_cap
         self.tx = access.begin(route=route, writes=statement.writes, arrived=arrived)
@@ -174,17 +178,17 @@
         return Reply(state=self.state)
 
     async def roll_back(self):
-        """ROLLBACK: nothing of the transaction is kept."""
+        """Run ROLLBACK."""
         if self.tx is None:
             return self.refuse(Refusal.MALFORMED, "no transaction is open")
         await self.end_transaction()
         return Reply(state=self.state)
 
-    async def run_failed(self, statement):
-        """In a failed transaction only its end is accepted."""
+    async def run_in_failed_transaction(self, statement):
+        """Accept only COMMIT and ROLLBACK, both of which roll back."""
         if statement.kind not in (StatementKind.ROLLBACK, StatementKind.COMMIT):
-            if self.abort_untold:
-                self.abort_untold = False
+            if self.abort_unreported:
+                self.abort_unreported = False
                 return self.refuse(Refusal.ABORTED, "the transaction was rolled back")
             return self.refuse(Refusal.MALFORMED, "the transaction has failed")
         await self.end_transaction()
@@ -194,8 +198,8 @@
 
     # Statements that upstreams run
 
-    async def run_there(self, request, statement, arrived):
-        """Run a statement at an upstream: (job, reply), the job None without one."""
+    async def run_at_upstream(self, request, statement, arrived):
+        """Run a statement at an upstream: (job, reply), job None if none was made."""
         route = self.tx.route if self.tx else self.current_route()
         if route is None:
             return None, self.refuse(Refusal.UNKNOWN_DATABASE, self.database)
@@ -206,7 +210,7 @@
         return job, await self.run_job(job)
 
     def make_job(self, request, statement, arrived, route):
-        """The job of a statement under a route."""
+        """Return the job that runs a statement under a route."""
         needed = ()
         if statement.kind is StatementKind.EXECUTE:
             known = self.prepared[statement.name]
@@ -230,13 +234,13 @@
         )
 
     async def run_job(self, job):
-        """Run a job in the open transaction or on its own."""
+        """Run a job, inside the open transaction if there is one."""
         if self.tx is not None:
-            return await self.run_inside(job)
+            return await self.run_in_transaction(job)
         access = self.proxy.access(job.route.group)
         if access is None:
             return self.refuse(Refusal.BUSY, "not run, the group is not known yet")
-        over_cap = await self.over_cap(job.request)
+        over_cap = await self.check_cap(job.request)
         if over_cap is not None:
             return over_cap
         if job.statement.writes:
@@ -244,19 +248,19 @@
             if reply.ok:
                 self.own_floor = later(self.own_floor, reply.position)
             self.note_withdrawn(reply)
-            return self.outside(reply)
+            return self.idle_reply(reply)
         reply = await access.read(job)
-        still_running = self.leftovers | job.running_attempts
-        self.leftovers = {task for task in still_running if not task.done()}
+        still_running = self.running_attempts | job.running_attempts
+        self.running_attempts = {task for task in still_running if not task.done()}
         self.note_withdrawn(reply)
-        return self.outside(reply)
+        return self.idle_reply(reply)
 
     def note_withdrawn(self, reply):
-        """An owner that knows a newer configuration may have refused the key."""
+        """Note a refused key: an owner may know a newer configuration."""
         self.withdrawn = self.withdrawn or reply.refusal is Refusal.UNKNOWN_KEY
 
-    async def run_inside(self, job):
-        """Run a job inside the open transaction."""
+    async def run_in_transaction(self, job):
+        """Run a job inside the open transaction; it fails with the job."""
         reply = await self.tx.run(job)
         if not reply.ok:
             self.state = SessionState.FAILED
@@ -264,7 +268,7 @@
         return with_state(reply, self.state)
 
     async def commit(self, request, statement, arrived):
-        """COMMIT: kept, not kept, or in doubt; the transaction is over either way."""
+        """Run COMMIT; the transaction is over whatever the outcome."""
         if self.tx is None:
             return None, self.refuse(Refusal.MALFORMED, "no transaction is open")
         job = self.make_job(request, statement, arrived, self.tx.route)
@@ -273,45 +277,45 @@
         reply = await tx.commit(job)
         if reply.ok and tx.wrote:
             self.own_floor = later(self.own_floor, reply.position)
-        return job, self.outside(reply)
+        return job, self.idle_reply(reply)
 
-    # Ends
+    # Ending transactions
 
     async def end_transaction(self):
-        """Roll back what is open."""
+        """Roll back the open transaction, if any."""
         tx, self.tx = self.tx, None
         self.state = SessionState.IDLE
-        self.abort_untold = False
+        self.abort_unreported = False
         if tx is not None:
             await tx.close()
 
-    async def abort_open(self):
-        """End an open transaction from our side; the caller learns of it later."""
+    async def abort_transaction(self):
+        """Roll back an open transaction; the next reply tells the caller."""
         if self.tx is None or self.state is SessionState.FAILED:
             return
-        # Before anything is awaited: a statement that arrives meanwhile would find
-        # the transaction without a connection and open it anew.
+        # Set before the first await: a statement that arrives in between would find the
+        # transaction without a connection and open a new one.
         self.state = SessionState.FAILED
-        self.abort_untold = True
+        self.abort_unreported = True
         await self.tx.close()
 
-    # Small things
+    # Helpers
 
     def current_route(self):
-        """The route in force now, or None if it was removed."""
+        """Return the current route, or None if it was removed."""
         return self.proxy.catalog.route(self.database)
 
     def refuse(self, refusal, detail):
-        """A refusal by the proxy itself."""
+        """Return a refusal by the proxy itself."""
         return Reply(refusal=refusal, detail=detail, state=self.state)
 
-    def outside(self, reply):
-        """A reply outside transactions, whatever the upstream's connection is in."""
+    def idle_reply(self, reply):
+        """Return a reply with state IDLE, whatever the upstream connection's state."""
         return with_state(reply, SessionState.IDLE)
 
 
 def with_state(reply, state):
-    """A reply with the session's state instead of the upstream connection's."""
+    """Return a reply with the session's state instead of the connection's."""
     return Reply(
         rows=reply.rows,
         proof=reply.proof,
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from gypsum_sessions.replies import Refusal, UpstreamError
-from gypsum_sessions.statements import BEGIN_READING, ROLLBACK, STATUS
+from gypsum_sessions.statements import BEGIN_READ_ONLY, ROLLBACK, STATUS
 from gypsum_sessions.upstreams.upstream import is_connection_shortage
 
 PART = "confirm"
@@ -40,9 +40,9 @@
         evidence = await find_evidence(group, position, leader)
         if evidence is Evidence.HELD:
             return True
-        if context.clock() + context.tuning.confirm_again >= until:
+        if context.clock() + context.tuning.confirm_retry_interval >= until:
             break
-        await asyncio.sleep(context.tuning.confirm_again)
+        await asyncio.sleep(context.tuning.confirm_retry_interval)
     context.log(
         PART,
         "commit not confirmed",
@@ -66,7 +66,7 @@
         return True
     until = group.context.clock() + timeout
     while not known_replicas(group, leader) and group.context.clock() < until:
-        await asyncio.sleep(group.context.tuning.confirm_for)
+        await asyncio.sleep(group.context.tuning.confirm_apply_wait)
     replicas = known_replicas(group, leader)
     if any(item.reachable for item in replicas):
         return True
@@ -85,8 +85,8 @@
     """
     tuning = group.context.tuning
     replicas = known_replicas(group, leader)
-    until = group.context.clock() + tuning.confirm_for
-    low_lag = [item for item in replicas if item.apply_lag < tuning.confirm_for]
+    until = group.context.clock() + tuning.confirm_apply_wait
+    low_lag = [item for item in replicas if item.apply_lag < tuning.confirm_apply_wait]
     found = await gather_evidence(
         group, low_lag, lambda item: poll_applied(group, item, position, until)
     )
@@ -111,7 +111,7 @@
     ranked = sorted(
         replicas, key=lambda item: (item.admission.queue.load, item.mean_time)
     )
-    pause = group.context.tuning.confirm_hedge
+    pause = group.context.tuning.confirm_hedge_delay
     found = []
 
     async def ask_after(item):
@@ -152,7 +152,7 @@
     tasks = {asyncio.create_task(query(item)): item.id for item in replicas}
     found = dict.fromkeys(tasks.values(), Evidence.UNKNOWN)
     tuning, clock = group.context.tuning, group.context.clock
-    until = clock() + tuning.confirm_for + tuning.confirm_margin
+    until = clock() + tuning.confirm_apply_wait + tuning.confirm_margin
     pending = set(tasks)
     while pending and Evidence.HELD not in found.values():
         left = until - clock()
@@ -176,11 +176,11 @@
         found = await ask_one(group, item, position, ask_applied)
         if found is not Evidence.LACKING or clock() >= until:
             break
-        await asyncio.sleep(tuning.confirm_pause)
+        await asyncio.sleep(tuning.confirm_poll_interval)
     if found is Evidence.HELD:
         item.record_apply_lag(clock() - started_at, tuning)
     elif found is Evidence.LACKING:
-        item.record_apply_lag(2 * tuning.confirm_for, tuning)
+        item.record_apply_lag(2 * tuning.confirm_apply_wait, tuning)
     return found
 
 
@@ -217,7 +217,7 @@
 
 async def ask_applied(item, conn, position, tuning):
     """Whether a replica has applied a position."""
-    begun = await conn.ask(BEGIN_READING, timeout=tuning.ping_timeout, after=position)
+    begun = await conn.ask(BEGIN_READ_ONLY, timeout=tuning.ping_timeout, after=position)
     if begun.ok:
         await conn.ask(ROLLBACK, timeout=tuning.ping_timeout)
         return Evidence.HELD
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -184,8 +184,8 @@
     """Seconds until a further upstream is asked as well."""
     tuning = group.context.tuning
     last = group.upstreams.get(job.tried[-1]) if job.tried else None
-    mean = last.mean_time if last else tuning.first_mean
-    delay = max(tuning.hedge_floor, tuning.hedge_factor * mean)
+    mean = last.mean_time if last else tuning.initial_mean
+    delay = max(tuning.hedge_min_delay, tuning.hedge_factor * mean)
     return min(delay, job.time_left(group.context.clock))
 
 
@@ -195,7 +195,7 @@
         async with place:
             if job.answered:
                 return Attempt(upstream=item.id, reply=None, detail="answered before")
-            if not group.context.catalog.stands(job.credential):
+            if not group.context.catalog.is_valid(job.credential):
                 return Attempt(upstream=item.id, reply=key_withdrawn_reply())
             return await send_attempt(group, job, item)
     except QueueTimeout as exc:
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -15,7 +15,7 @@
     Reply,
     UpstreamError,
     UpstreamLost,
-    UpstreamSilent,
+    UpstreamTimeout,
 )
 from gypsum_sessions.statements import ROLLBACK
 from gypsum_sessions.upstreams.pooled import sync_session_state
@@ -44,7 +44,7 @@
         job.tried.append(item.id)
         try:
             async with item.admission.enqueue(job.admission_request()):
-                if not context.catalog.stands(job.credential):
+                if not context.catalog.is_valid(job.credential):
                     return key_withdrawn_reply()
                 reply = await try_write(group, job, item)
         except QueueTimeout as exc:
@@ -129,7 +129,7 @@
     if isinstance(exc, UpstreamLost) and not exc.sent:
         raise NotSent(str(exc)) from exc
     item.record_failure(exc, group.context.clock(), group.context.tuning)
-    silent = isinstance(exc, UpstreamSilent)
+    silent = isinstance(exc, UpstreamTimeout)
     group.context.log(
         PART, "in doubt", request=job.request, upstream=item.id, error=str(exc)
     )
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -1,10 +1,9 @@
-"""The daemon's sessions, groups and configuration, and the tasks that tend them."""
+"""The sessions, groups and configuration of a daemon, and its background tasks."""
 
 import asyncio
 
 from gypsum_policy.membership import missing_grace_period
 from gypsum_policy.relays import ALL_WATCH_UP_TO
-from gypsum_sessions.borders import LeaseError
 from gypsum_sessions.callers.requestlog import RequestLog
 from gypsum_sessions.callers.session import Session
 from gypsum_sessions.catalog import Catalog
@@ -15,6 +14,7 @@
 from gypsum_sessions.daemons.relay import Relay
 from gypsum_sessions.daemons.usage import Usage
 from gypsum_sessions.daemons.warmlinks import WarmLinks
+from gypsum_sessions.interfaces import LeaseError
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
 from gypsum_sessions.takeover.lease_view import LeaseView
 from gypsum_sessions.upstreams.group import GroupContext
@@ -23,21 +23,21 @@
 from gypsum_sessions.upstreams.roster import Roster
 
 PART = "proxy"
-# How often idle transactions and members that left the list are looked for, seconds.
-TEND_EVERY = 0.25
-# The leases are read anew once members have been newer for this many looks: mostly the
-# watch tells something of its own within half a second.
-BEHIND_LOOKS = 3
-# Pause before a loop that failed is started anew, seconds.
-RESTART_PAUSE = 0.5
-# How often the process notes that it runs, and how long a gap says that it did not,
-# seconds: other daemons take a link for silent a tenth later.
-AWAKE_EVERY = 0.05
-STOOD_STILL = 0.5
+# How often idle transactions are ended and unlisted members expired, seconds.
+MAINTENANCE_INTERVAL = 0.25
+# The leases are read again once listed members have been newer than the known leases
+# for this many checks: the watch mostly delivers something within half a second.
+STALE_LEASE_CHECKS = 3
+# Delay before a failed background loop is restarted, seconds.
+RESTART_DELAY = 0.5
+# How often the process checks that it is running, and the gap between two checks that
+# counts as a pause, seconds. Other daemons take a link for dead 0.1 s after that gap.
+PAUSE_CHECK_INTERVAL = 0.05
+PAUSE_THRESHOLD = 0.5
 
 
 class CheckingDialer:
-    """Dials, and tells when another upstream answers at a member's address."""
+    """Dials upstreams; reports when another upstream answers at a member's address."""
 
     def __init__(self, *, dialer, replaced):
         self.dialer = dialer
@@ -54,7 +54,7 @@
 
 
 class Proxy:
-    """Everything that one daemon serves sessions with."""
+    """State and background tasks with which a daemon serves sessions."""
 
     def __init__(
         self,
@@ -84,18 +84,18 @@
         self.promoter = promoter
         self.member_list = member_list
         self.catalog = Catalog()
-        # Seconds since the configuration was known to be the newest.
+        # Seconds since the configuration was last confirmed to be the newest.
         self.catalog_age = lambda: 0.0
         own = DaemonEntry(id=name, domain=domain, link=link_address)
         self.daemons = Daemons(own=own, all_watch_up_to=all_watch_up_to)
         self.roster = Roster(
-            clock=clock, missing_checks=round(tuning.missing_grace / TEND_EVERY)
+            clock=clock, missing_checks=round(tuning.missing_grace / MAINTENANCE_INTERVAL),
         )
         self.recorder = MemberRecorder(records=records, log=log)
-        self.board = LeaseView(clock=clock, takeover_window=tuning.settled_after)
+        self.lease_view = LeaseView(clock=clock, takeover_window=tuning.takeover_max_duration)
         self.context = GroupContext(
             clock=clock,
-            dialer=CheckingDialer(dialer=dialer, replaced=self.member_replaced),
+            dialer=CheckingDialer(dialer=dialer, replaced=self.on_member_replaced),
             tuning=tuning,
             log=log,
             domain=domain,
@@ -103,18 +103,18 @@
             started_at=clock(),
             catalog=self.catalog,
             daemons=self.daemons,
-            lease_view=self.board,
+            lease_view=self.lease_view,
         )
         self.peers = Peers(dialer=links, daemons=self.daemons, clock=clock, log=log)
         self.relay = Relay(
             clock=clock,
-            in_touch_for=tuning.in_touch_for,
+            in_touch_for=tuning.store_confirmation_time,
             watches=self.daemons.watches,
         )
-        self.following = Following(
+        self.feed_follower = Following(
             daemons=self.daemons, peers=self.peers, clock=clock, log=log
         )
-        self.requests = RequestLog(proxy=self)
+        self.request_log = RequestLog(proxy=self)
         self.usage = Usage(
             daemons=self.daemons,
             peers=self.peers,
@@ -125,40 +125,41 @@
         self.warm_links = WarmLinks(
             catalog=self.catalog, daemons=self.daemons, peers=self.peers
         )
-        self.desks = set()
-        self.awake_at = clock()
+        self.peer_handlers = set()
+        self.last_awake = clock()
         self.hosting = HostedGroups(proxy=self)
         self.groups = self.hosting.groups
         self.takeovers = self.hosting.takeovers
         self.sessions = {}
         self.callers = set()
         self.tasks = set()
-        self.numbers = 0
-        self.roster_known = False
-        # How this daemon leaves, once it was told to stop.
-        self.departure = None
-        # Transactions that its leaving has ended.
-        self.drain_ended = 0
+        self.last_session_number = 0
+        self.members_known = False
+        # Set once this daemon was told to stop.
+        self.drain_state = None
+        # Number of transactions that the drain has rolled back.
+        self.drain_rollbacks = 0
 
     # Configuration and members
 
     @property
     def ready(self):
-        """Tell whether callers can be served: routes, upstreams, leases are known.
+        """Whether callers can be served: routes, upstreams and leases are known.
 
-        Not while this daemon is cut off from most of a group: others serve its callers.
+        False while draining, and while this daemon is cut off from most of a group that
+        it owns: other daemons serve its callers then.
         """
-        if self.departure or self.catalog.version < 0:
+        if self.drain_state or self.catalog.version < 0:
             return False
-        listed = self.roster_known and self.board.known_revision >= 0
-        return listed and not self.cut_off()
+        listed = self.members_known and self.lease_view.known_revision >= 0
+        return listed and not self.is_partitioned()
 
-    def cut_off(self):
-        """Tell whether this daemon does not reach most of a group that it owns."""
+    def is_partitioned(self):
+        """Return whether most of a group that this daemon owns is out of its reach."""
         return any(group.watch.is_partitioned() for group in self.groups.values())
 
     def offer_catalog(self, candidate, source):
-        """Bring a configuration into force if it is newer."""
+        """Apply a configuration if it is newer than the current one."""
         if not self.catalog.offer(candidate):
             return
         self.log(
@@ -171,19 +172,19 @@
         )
         for name, group in self.groups.items():
             group.spec = candidate.groups.get(name, group.spec)
-        self.end_withdrawn()
+        self.close_withdrawn_sessions()
         self.hosting.reconcile()
 
-    def end_withdrawn(self):
-        """End the sessions whose key counts no more under the version in force.
+    def close_withdrawn_sessions(self):
+        """End the sessions whose key is not valid under the current configuration.
 
-        Those that wait for nothing are closed, open transactions rolled back; what runs
-        is looked at again before it is sent. What goes wrong without it: a caller who
-        pauses keeps its session, and its transaction, for as long as it likes.
+        Idle sessions are closed and open transactions rolled back; running statements
+        are checked again before they are sent. Otherwise a caller that pauses would
+        keep its session and its transaction indefinitely.
         """
         for caller in list(self.callers):
             session = caller.session
-            if session is None or session.withdrawn or session.let_in():
+            if session is None or session.withdrawn or session.renew_credential():
                 continue
             self.log(
                 PART,
@@ -193,58 +194,60 @@
                 version=self.catalog.version,
             )
             if caller.idle:
-                caller.leave()
+                caller.close_idle()
             elif not session.running:
-                self.spawn(session.abort_open())
+                self.spawn(session.abort_transaction())
 
     def access(self, name):
-        """The way to a group, or None if it is not known yet."""
+        """Return the access to a group, or None if it is not known yet."""
         return self.hosting.access(name)
 
     # Daemons
 
-    def take_daemons(self, entries):
-        """Take in the whole list of daemons."""
+    def update_daemons(self, entries):
+        """Replace the whole list of daemons."""
         self.daemons.take_all(entries)
         self.usage.list_changed()
         self.hosting.reconcile()
 
-    def take_daemon(self, entry):
-        """A daemon registered, or changed its entry; groups are tended to soon."""
+    def update_daemon(self, entry):
+        """Add or change one daemon; the next maintenance pass updates the groups."""
         self.daemons.add(entry)
         self.usage.list_changed()
 
-    def drop_missing(self):
-        """One look at daemons that the list lacks: drop those that stay away."""
-        looks = round(missing_grace_period(len(self.daemons.known)) / TEND_EVERY)
+    def expire_daemons(self):
+        """Remove daemons that have been missing from the list for the grace period."""
+        looks = round(missing_grace_period(len(self.daemons.known)) / MAINTENANCE_INTERVAL)
         for name in self.daemons.expire(looks):
             self.log(PART, "daemon not listed any more", peer=name)
-            self.drop_daemon(name)
+            self.remove_daemon(name)
 
-    def drop_daemon(self, name):
-        """A daemon's entry was removed."""
+    def remove_daemon(self, name):
+        """Remove a daemon whose entry was deleted."""
         self.daemons.discard(name)
         self.peers.forget(name)
         self.usage.list_changed()
 
     # Members
 
-    def take_members(self, members):
-        """Take in a whole list of upstreams."""
+    def update_members(self, members):
+        """Replace the whole list of upstreams."""
         self.roster.replace_all(members)
-        self.roster_known = True
+        self.members_known = True
         for name in self.groups:
             self.refresh_members(name)
 
-    async def relist(self):
-        """Read the list of upstreams now; raises LeaseError."""
-        self.take_members(await self.member_list.read_all())
+    async def reload_members(self):
+        """Read the list of upstreams again; raises LeaseError."""
+        self.update_members(await self.member_list.read_all())
 
-    def take_member(self, member):
-        """Take in one changed upstream."""
+    def update_member(self, member):
+        """Add or change one upstream."""
         kept = self.roster.update(member)
         if kept is None:
-            self.log(PART, "entry of an earlier start ignored", upstream=member.id)
+            self.log(
+                PART, "entry of an earlier incarnation ignored", upstream=member.id
+            )
             return
         self.log(
             PART,
@@ -257,36 +260,36 @@
         )
         self.refresh_members(kept.group)
 
-    def recall(self, group, members):
-        """Take in which members a group had when that was last recorded.
+    def add_recorded_members(self, group, members):
+        """Add the members that a group had when it was last recorded.
 
-        What goes wrong without it: the store was away and lists a part of a group; a
-        daemon that has just started finds no primary among them and promotes one,
-        while the primary and another replica are about to be listed again.
+        After an outage the store may list only a part of a group. A daemon that has
+        just started would find no primary among them and promote a replica, although
+        the primary and another replica are about to be listed again.
         """
         self.recorder.set_recorded(group, members)
         self.roster.add_recorded(members)
         self.refresh_members(group)
 
-    def drop_member(self, name):
-        """An upstream's entry vanished from the list, or became unusable."""
-        self.log(PART, "upstream not listed any more", upstream=name)
+    def remove_member(self, name):
+        """Remove an upstream whose entry was deleted or became unusable."""
+        self.log(PART, "upstream entry removed", upstream=name)
         self.roster.mark_missing(name)
         for name in self.groups:
             self.refresh_members(name)
 
-    def member_replaced(self, member, detail):
-        """Another upstream is at a member's address: the member is gone for good.
+    def on_member_replaced(self, member, detail):
+        """Remove a member at whose address another upstream answers.
 
-        What goes wrong without it: a takeover waits for a replica that no longer
-        exists until the list forgets it, seconds later.
+        Otherwise a takeover would wait for a replica that no longer exists until its
+        entry expires from the list, seconds later.
         """
         if self.roster.members.pop(member.id, None) is not None:
             self.log(PART, "upstream replaced", upstream=member.id, by=detail)
             self.refresh_members(member.group)
 
     def refresh_members(self, name):
-        """Hand a group its members as the roster has them."""
+        """Update a group's members from the roster."""
         group = self.groups.get(name)
         if group is not None:
             group.update_members(self.roster.of_group(name))
@@ -294,17 +297,18 @@
     # Sessions
 
     def open_session(self, database, digest=""):
-        """A session for a database name; None if no route has it, or the key no one.
+        """Open a session for a database name.
 
-        `digest` stands for the key that the caller shows.
+        `digest` is the digest of the caller's key. Returns None if no route has the
+        name, or no workspace has the key.
         """
         route = self.catalog.route(database)
-        credential = self.catalog.admit(route, digest) if route else None
+        credential = self.catalog.authenticate(route, digest) if route else None
         if credential is None:
             return None
-        self.numbers += 1
+        self.last_session_number += 1
         session = Session(
-            number=self.numbers,
+            number=self.last_session_number,
             database=database,
             route=route,
             proxy=self,
@@ -316,62 +320,62 @@
         return session
 
     async def close_session(self, session):
-        """The caller is gone: roll back what is open."""
+        """Close a session and roll back its open transaction."""
         self.sessions.pop(session.number, None)
         await session.end_transaction()
 
     def deadline(self, wanted):
-        """The time by which a statement is answered: the wanted one, or our end.
+        """Return a statement's deadline, limited by that of a drain in progress.
 
-        What goes wrong without it: a statement that came before the end of a daemon's
-        grace still runs when the process ends, and its connection is cut.
+        Otherwise a statement that arrives shortly before the end of the grace period
+        would still be running when the process exits, and its connection would be cut.
         """
-        return min(wanted, self.departure.answer_by) if self.departure else wanted
+        drain_state = self.drain_state
+        return min(wanted, drain_state.answer_deadline) if drain_state else wanted
 
     # Other daemons' statements
 
-    def open_desk(self, peer):
-        """Another daemon opened a link: who works on its statements."""
-        desk = OwnerDesk(proxy=self, peer=peer)
-        self.desks.add(desk)
-        return desk
+    def open_peer_handler(self, peer):
+        """Return the handler for requests on a link that another daemon opened."""
+        handler = OwnerDesk(proxy=self, peer=peer)
+        self.peer_handlers.add(handler)
+        return handler
 
-    def watch_pauses(self):
-        """Notice when this process stood still, and drop what was asked before.
+    def detect_pauses(self):
+        """Detect that this process was paused, and drop the requests from before.
 
-        What goes wrong without it: a daemon that thaws reads statements that were
-        queued, of daemons that have long told their callers something else, and runs
-        them with values that the sessions no longer have. A plain callback, for it has
-        to come before the tasks that read the links.
+        A daemon that resumes would read queued statements whose senders have long told
+        their callers something else, and run them with outdated session values. This is
+        a plain callback because it has to run before the tasks that read the links.
         """
         now = self.clock()
-        if now - self.awake_at > STOOD_STILL:
-            self.log(PART, "stood still", seconds=round(now - self.awake_at, 2))
-            for desk in list(self.desks):
-                desk.frames.close()
-                desk.lost("stood still")
-        self.awake_at = now
-        asyncio.get_running_loop().call_later(AWAKE_EVERY, self.watch_pauses)
+        if now - self.last_awake > PAUSE_THRESHOLD:
+            self.log(PART, "stood still", seconds=round(now - self.last_awake, 2))
+            for handler in list(self.peer_handlers):
+                handler.frames.close()
+                handler.lost("stood still")
+        self.last_awake = now
+        asyncio.get_running_loop().call_later(PAUSE_CHECK_INTERVAL, self.detect_pauses)
 
     # Tasks
 
     def spawn(self, work):
-        """Run a coroutine to its end, or until the daemon stops."""
+        """Run a coroutine in a task that is cancelled when the daemon stops."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self.finished)
+        task.add_done_callback(self.on_task_done)
         return task
 
     def keep_running(self, make_work):
-        """Run what has no end, and start it anew should it fail.
+        """Run an endless loop in a task, and restart it if it fails.
 
-        What goes wrong without it: an error that nobody thought of ends a watch,
-        and the daemon serves on with what it knew then.
+        Otherwise an unexpected error would end a watch, and the daemon would go on
+        serving with outdated data.
         """
-        return self.spawn(self.restart(make_work))
+        return self.spawn(self.run_forever(make_work))
 
-    async def restart(self, make_work):
-        """Run a loop again and again."""
+    async def run_forever(self, make_work):
+        """Run a loop, restarting it whenever it ends or fails."""
         while True:
             try:
                 await make_work()
@@ -379,66 +383,66 @@
                 self.log(
                     PART, "loop failed", loop=make_work.__qualname__, error=repr(exc)
                 )
-            await asyncio.sleep(RESTART_PAUSE)
+            await asyncio.sleep(RESTART_DELAY)
 
-    def finished(self, task):
-        """A task ended; one that failed must not pass unseen."""
+    def on_task_done(self, task):
+        """Forget a task that has ended, and log its exception if it failed."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self.log(PART, "task failed", error=repr(task.exception()))
 
-    async def tend(self):
-        """End idle transactions and drop members that are gone, for ever."""
+    async def run_maintenance(self):
+        """Periodically end idle transactions and expire missing members and daemons."""
         while True:
-            await asyncio.sleep(TEND_EVERY)
+            await asyncio.sleep(MAINTENANCE_INTERVAL)
             for member in self.roster.expire():
-                self.log(PART, "upstream gone", upstream=member.id)
+                self.log(PART, "missing upstream expired", upstream=member.id)
                 self.refresh_members(member.group)
-            self.drop_missing()
+            self.expire_daemons()
             await self.end_idle_transactions()
             self.hosting.reconcile()
             for group in self.groups.values():
                 group.adjust_connections()
 
-    async def keep_leases_known(self):
-        """Read the leases anew when members are listed that are newer, for ever.
+    async def refresh_leases(self):
+        """Keep the known leases at least as new as the listed members.
 
-        What goes wrong without it: entries that the store had lost are back as new
-        ones, the watch of the leases has nothing to tell for seconds, and no commit can
+        When entries that the store had lost return with new revisions, the watch of the
+        leases may deliver nothing for seconds, and without a fresh read no commit can
         be confirmed meanwhile.
         """
         behind = 0
         while True:
-            await asyncio.sleep(TEND_EVERY)
+            await asyncio.sleep(MAINTENANCE_INTERVAL)
             newest = max(
                 (member.joined for member in self.roster.members.values()), default=-1
             )
-            behind = behind + 1 if 0 <= self.board.known_revision < newest else 0
-            if behind < BEHIND_LOOKS:
+            behind = behind + 1 if 0 <= self.lease_view.known_revision < newest else 0
+            if behind < STALE_LEASE_CHECKS:
                 continue
             behind = 0
             try:
                 leases, revision = await self.leases.read_all()
             except LeaseError as exc:
-                self.log(PART, "leases not read", error=str(exc))
-                await asyncio.sleep(RESTART_PAUSE)
+                self.log(PART, "lease refresh failed", error=str(exc))
+                await asyncio.sleep(RESTART_DELAY)
                 continue
             for group, lease in leases.items():
-                self.board.record(group, lease)
-            self.board.record_revision(revision)
+                self.lease_view.record(group, lease)
+            self.lease_view.record_revision(revision)
 
-    async def keep_records(self):
-        """Keep the groups' members on record, for ever."""
+    async def record_members(self):
+        """Periodically save the groups' members to the store."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
-            if self.board.known_revision < 0:
+            if self.lease_view.known_revision < 0:
                 continue
             for name, group in list(self.groups.items()):
                 place = self.takeovers[name].rank()
                 await self.recorder.check(name, group.members(), place)
 
     async def end_idle_transactions(self):
-        """Roll back transactions whose callers have been silent for too long."""
+        """Roll back transactions that have been idle for longer than allowed."""
         current = self.catalog.current
         if current is None:
             return
@@ -447,8 +451,8 @@
             if session.running or session.state is not SessionState.IN_TRANSACTION:
                 continue
             if session.last_active < limit:
-                self.log(PART, "idle transaction ended", session=session.number)
-                await session.abort_open()
+                self.log(PART, "idle transaction rolled back", session=session.number)
+                await session.abort_transaction()
 
     def stop(self):
         """Cancel all tasks and close all connections."""
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -14,7 +14,7 @@
 import asyncio
 
 from gypsum_policy.promotion import choose_promotion_target
-from gypsum_sessions.borders import LeaseError, PromoteOutcome
+from gypsum_sessions.interfaces import LeaseError, PromoteOutcome
 from gypsum_sessions.replies import UpstreamError
 from gypsum_sessions.takeover.leader import prove_leads
 from gypsum_sessions.takeover.reasons import Reason, Reasons
@@ -99,7 +99,7 @@
                 await self.attempt(reason)
             except (LeaseError, UpstreamError) as exc:
                 self.log("attempt aborted", error=str(exc))
-                self.backoff_until = self.context.clock() + self.context.tuning.lease_rest
+                self.backoff_until = self.context.clock() + self.context.tuning.lease_min_age
             finally:
                 self.attempting = False
 
@@ -182,8 +182,8 @@
             *(self.replication.status_of(item) for item in replicas)
         )
         for item, status in zip(replicas, statuses, strict=True):
-            if status is not None and status.held_term:
-                self.replication.paused[item.id] = status.held_term
+            if status is not None and status.paused_term:
+                self.replication.paused[item.id] = status.paused_term
         self.lease = None
         await self.resume_all()
 
@@ -234,7 +234,7 @@
         ]
         if floor is None or not replicas:
             return False
-        await asyncio.sleep(self.context.tuning.stall_look)
+        await asyncio.sleep(self.context.tuning.stall_check_window)
         statuses = await asyncio.gather(
             *(self.replication.status_of(item) for item in replicas)
         )
@@ -243,9 +243,9 @@
             self.group.stall.reset()
             return False
         held = {
-            item.id: status.held_term
+            item.id: status.paused_term
             for item, status in zip(replicas, statuses, strict=True)
-            if status is not None and status.held_term
+            if status is not None and status.paused_term
         }
         if held:
             await self.handle_paused_replicas(held)
@@ -260,7 +260,7 @@
         """
         age = self.lease_view.age(self.group.name)
         self.log("replicas found paused", held=held, lease_age=round(age, 2))
-        if age < self.context.tuning.settled_after:
+        if age < self.context.tuning.takeover_max_duration:
             self.backoff_until = self.context.clock() + ROUND_INTERVAL
             return
         self.replication.paused.update(held)
@@ -274,14 +274,14 @@
         self.lease_view.record(name, found)
         seen = self.lease_view.newest(name, found)
         foreign = seen.holder not in ("", self.daemon)
-        if foreign and self.lease_view.age(name) < tuning.lease_rest:
+        if foreign and self.lease_view.age(name) < tuning.lease_min_age:
             self.log("left to its holder", reason=reason, holder=seen.holder)
-            self.backoff_until = self.context.clock() + tuning.lease_look
+            self.backoff_until = self.context.clock() + tuning.lease_retry_delay
             return False
-        lease = await self.leases.take(name, self.daemon, seen)
+        lease = await self.leases.acquire(name, self.daemon, seen)
         if lease is None:
             self.log("lease taken by another", reason=reason)
-            self.backoff_until = self.context.clock() + tuning.lease_look
+            self.backoff_until = self.context.clock() + tuning.lease_retry_delay
             return False
         self.lease = lease
         self.lease_view.record(name, lease)
@@ -307,7 +307,7 @@
         ):
             self.promotions += 1
             self.replication.paused.clear()
-            self.backoff_until = self.context.clock() + self.context.tuning.lease_look
+            self.backoff_until = self.context.clock() + self.context.tuning.lease_retry_delay
             await self.settle()
             return True
         # The token cannot be used again: the order was refused or may still be carried
@@ -410,8 +410,8 @@
         """
         tuning = self.context.tuning
         if outcome is PromoteOutcome.UNANSWERED:
-            return tuning.unanswered_wait
-        return tuning.promotion_wait
+            return tuning.unanswered_promotion_wait
+        return tuning.promotion_timeout
 
     async def wait_until_leads(self, upstream, timeout):
         """Wait until a member leads; False if it does not within `timeout` seconds."""
@@ -461,7 +461,7 @@
         self.log("primary confirmed", upstream=leader, outcome=str(outcome))
         self.record_outcome(leader, outcome)
         if outcome is not PromoteOutcome.ACCEPTED:
-            self.backoff_until = self.context.clock() + self.context.tuning.lease_look
+            self.backoff_until = self.context.clock() + self.context.tuning.lease_retry_delay
             return
         await self.replication.resume_all()
         await self.settle()
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -16,7 +16,7 @@
     UpstreamLost,
     UpstreamRefused,
 )
-from gypsum_sessions.statements import BEGIN_WRITING, ROLLBACK
+from gypsum_sessions.statements import BEGIN_READ_WRITE, ROLLBACK
 
 PART = "leader"
 # How often tasks that wait for a leader check whether this daemon is cut off, seconds.
@@ -26,11 +26,11 @@
 async def prove_leads(conn, *, timeout):
     """Ask an upstream for a proof that it leads: its position, or None if it does not.
 
-    Raises UpstreamLost or UpstreamSilent if there is no answer, and UpstreamBusy if the
+    Raises UpstreamLost or UpstreamTimeout if there is no answer, and UpstreamBusy if the
     upstream is too busy to run the statement.
     """
     begun, ended = await asyncio.gather(
-        conn.ask(BEGIN_WRITING, timeout=timeout),
+        conn.ask(BEGIN_READ_WRITE, timeout=timeout),
         conn.ask(ROLLBACK, timeout=timeout),
         return_exceptions=True,
     )
@@ -151,7 +151,7 @@
         """Return whether a member was the last proven leader, and recently."""
         newest = self.floors.newest
         known = newest is not None and upstream == self.last_leader
-        return known and self.clock() - newest.asked_at < self.tuning.led_lately
+        return known and self.clock() - newest.asked_at < self.tuning.recent_lead_window
 
     def leader_may_be_at_limit(self):
         """Return whether a member at its connection limit may be the leader.
@@ -181,7 +181,7 @@
     async def wait_until_due(self):
         """Wait until the next proof is due or requested."""
         searching = not self.leader
-        delay = self.tuning.search_every if searching else self.tuning.ping_every
+        delay = self.tuning.search_interval if searching else self.tuning.ping_interval
         if searching:
             await asyncio.sleep(delay)
             return
@@ -307,7 +307,7 @@
         for item in self.group.upstreams.values():
             if item.id not in self.pending_probes:
                 self.probe_in_background(item)
-        until = self.clock() + self.tuning.search_every
+        until = self.clock() + self.tuning.search_interval
         while self.pending_probes and not self.leader and self.clock() < until:
             await asyncio.wait(
                 list(self.pending_probes.values()),
--- a/packages/sessions/gypsum_sessions/takeover/lease_view.py
+++ b/packages/sessions/gypsum_sessions/takeover/lease_view.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, replace
 
-from gypsum_sessions.borders import PromotionLease
+from gypsum_sessions.interfaces import PromotionLease
 
 # A takeover that began before this process started counts as under way for this long
 # after the start, seconds.
@@ -81,7 +81,7 @@
         if known is None or known.lease.token <= seen.token:
             return seen
         lost = known.lease
-        return replace(lost, revision=seen.revision, chain_began=lost.began)
+        return replace(lost, revision=seen.revision, chain_start=lost.takeover_start)
 
     def token(self, group):
         """The highest known token, 0 if there is none."""
@@ -107,7 +107,7 @@
         its holder may have died and its order be carried out ten seconds late, which
         would discard commits acknowledged through a member that it did not know.
         """
-        if self.unsettled(group) and joined >= self.seen[group].lease.began:
+        if self.unsettled(group) and joined >= self.seen[group].lease.takeover_start:
             return False
         return joined <= self.known_revision
 
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -66,7 +66,7 @@
     def writes_stalled(self, delay):
         """Return whether writes are pending at the primary and none is answered."""
         stalled_for = self.group.stall.stalled_for(self.context.clock())
-        return stalled_for >= self.context.tuning.stall_after + delay
+        return stalled_for >= self.context.tuning.stall_timeout + delay
 
     def takeover_unfinished(self, delay):
         """Return whether a takeover was abandoned without settling its lease.
@@ -77,7 +77,7 @@
         name = self.group.name
         if not self.lease_view.unsettled(name):
             return False
-        return self.lease_view.age(name) >= self.context.tuning.settled_after + delay
+        return self.lease_view.age(name) >= self.context.tuning.takeover_max_duration + delay
 
     def primary_leaving(self, delay):
         """Return whether the primary is leaving and another member could lead."""
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -86,7 +86,7 @@
             PausedReplica(
                 upstream=item.id,
                 leaving=not item.member.active,
-                already_paused=before.held_term > 0,
+                already_paused=before.paused_term > 0,
                 status=paused[item.id],
             )
             for item, before in zip(others, statuses, strict=True)
@@ -133,7 +133,7 @@
         answers = await asyncio.gather(*(self.command(item, command) for item in items))
         for item in items:
             self.paused[item.id] = term
-        if any(status is None or status.held_term < term for status in answers):
+        if any(status is None or status.paused_term < term for status in answers):
             self.log("not all members paused", term=term, answers=str(answers))
             return None
         return {item.id: status for item, status in zip(items, answers, strict=True)}
@@ -144,15 +144,15 @@
         False if it does not answer, receives nothing or takes longer than allowed.
         """
         longest = max((status.received for status in paused.values()), default=None)
-        until = self.context.clock() + self.context.tuning.heir_wait
+        until = self.context.clock() + self.context.tuning.handover_target_wait
         while self.context.clock() < until:
             item = self.group.upstreams.get(target)
             status = await self.status_of(item) if item is not None else None
-            if status is None or status.held_term or status.leads:
+            if status is None or status.paused_term or status.leads:
                 return False
             if longest is None or status.received >= longest:
                 return True
-            await asyncio.sleep(self.context.tuning.confirm_pause)
+            await asyncio.sleep(self.context.tuning.confirm_poll_interval)
         self.log("the heir lacks what others have", heir=target, longest=str(longest))
         return False
 
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -5,11 +5,11 @@
 from gypsum_policy.admission import concurrency_limit
 from gypsum_policy.ownership import share_after_start
 from gypsum_policy.routing import Candidate
-from gypsum_sessions.borders import Clock, Dialer, EventLog
 from gypsum_sessions.catalog import Catalog
 from gypsum_sessions.daemons.registry import Daemons
 from gypsum_sessions.execution.admission import AdmissionQueue
 from gypsum_sessions.execution.jobs import ServedBy
+from gypsum_sessions.interfaces import Clock, Dialer, EventLog
 from gypsum_sessions.takeover.floors import Floors
 from gypsum_sessions.takeover.leader import LeaderWatch
 from gypsum_sessions.takeover.lease_view import LeaseView
@@ -51,7 +51,7 @@
         self.departed_at = {}
         self.tasks = set()
         self.stall = WriteStallDetector()
-        self.floors = Floors(retention=context.tuning.floor_keep)
+        self.floors = Floors(retention=context.tuning.floor_retention)
         self.watch = LeaderWatch(
             group=self,
             floors=self.floors,
@@ -112,7 +112,7 @@
             clock=self.context.clock,
             tuning=self.context.tuning,
         )
-        mean = self.context.tuning.first_mean
+        mean = self.context.tuning.initial_mean
         admission = AdmissionQueue(
             limit=self.work_limit(member),
             mean=mean,
@@ -159,7 +159,7 @@
         """
         share = self.context.daemons.connection_share(self.spec)
         since_start = self.context.clock() - self.context.started_at
-        if since_start >= self.context.tuning.modest_for:
+        if since_start >= self.context.tuning.startup_limit_duration:
             return share
         return share_after_start(share, since_start)
 
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -76,9 +76,9 @@
             group=group,
             daemon=self.proxy.name,
             leases=self.proxy.leases,
-            lease_view=self.proxy.board,
+            lease_view=self.proxy.lease_view,
             promoter=self.proxy.promoter,
-            relist=self.proxy.relist,
+            relist=self.proxy.reload_members,
             recorder=self.proxy.recorder,
             peer_reachability=reach,
         )
--- a/packages/sessions/gypsum_sessions/upstreams/pool.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pool.py
@@ -41,7 +41,7 @@
         self.open_count = 0
         self.checked_out = set()
         # Running mean of the time to open a connection, seconds.
-        self.mean_dial_time = tuning.first_dial
+        self.mean_dial_time = tuning.initial_dial_time
         self.in_use_by_workspace = Counter()
         # Idle connections closed to make room for another workspace's.
         self.displaced = 0
@@ -266,11 +266,11 @@
         have room again at any moment.
         """
         if self.refused_at_limit:
-            self.dial_backoff = self.tuning.redial_full
+            self.dial_backoff = self.tuning.redial_delay_at_limit
         else:
             self.dial_backoff = min(
-                max(self.tuning.redial_first, 2 * self.dial_backoff),
-                self.tuning.redial_most,
+                max(self.tuning.redial_backoff_min, 2 * self.dial_backoff),
+                self.tuning.redial_backoff_max,
             )
         self.next_dial_at = self.clock() + self.dial_backoff
 
@@ -338,7 +338,9 @@
     def idle_timeout(self, pooled):
         """Seconds after which an idle connection is closed."""
         tuning = self.tuning
-        return tuning.idle_limit_named if pooled.workspace else tuning.idle_limit
+        return (
+            tuning.workspace_idle_timeout if pooled.workspace else tuning.idle_timeout
+        )
 
     def close(self):
         """Close idle connections; those in use are closed when they are released."""
--- a/packages/sessions/gypsum_sessions/upstreams/recorder.py
+++ b/packages/sessions/gypsum_sessions/upstreams/recorder.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from gypsum_sessions.borders import LeaseError
+from gypsum_sessions.interfaces import LeaseError
 
 PART = "recorder"
 # Seconds between two checks of a group's members. Checks are counted instead of time: a
--- a/packages/sessions/gypsum_sessions/upstreams/upstream.py
+++ b/packages/sessions/gypsum_sessions/upstreams/upstream.py
@@ -53,7 +53,7 @@
 
     def record_behind(self, now, tuning):
         """Record that it lacked a position that a read required."""
-        self.lagging_until = now + tuning.lagging_rest
+        self.lagging_until = now + tuning.lagging_retry_delay
         self.last_behind_at = now
         if self.behind_since is None:
             self.behind_since = now
@@ -65,8 +65,7 @@
         """
         if (
             self.behind_since is None
-            or now - self.last_behind_at > tuning.behind_known_for
-        ):
+            or now - self.last_behind_at > tuning.behind_expiry:
             return 0.0
         return self.last_behind_at - self.behind_since
 
@@ -108,7 +107,7 @@
         if is_connection_shortage(exc) or now < self.avoid_until:
             return
         self.avoid_backoff = min(
-            max(tuning.avoid_first, 2 * self.avoid_backoff), tuning.avoid_most
+            max(tuning.avoid_backoff_min, 2 * self.avoid_backoff), tuning.avoid_backoff_max
         )
         self.avoid_until = now + self.avoid_backoff
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -20,9 +20,9 @@
     read_json,
 )
 from gypsum_platform.takers import ConfigTaker, OwnTaker, UpstreamTaker
-from gypsum_sessions.borders import LeaseError, PromoteOutcome
 from gypsum_sessions.daemons.asks import News
 from gypsum_sessions.daemons.relay import Relay
+from gypsum_sessions.interfaces import LeaseError, PromoteOutcome
 from gypsum_sessions.takeover.lease_view import LeaseView
 from gypsum_sessions.upstreams.recorder import MemberRecorder
 from gypsum_sessions.upstreams.roster import Member
@@ -164,15 +164,15 @@
         """A configuration."""
         self.versions.append(candidate.version)
 
-    def take_members(self, members):
+    def update_members(self, members):
         """A whole list."""
         self.members = {member.id: member for member in members}
 
-    def take_member(self, member):
+    def update_member(self, member):
         """One entry."""
         self.members[member.id] = member
 
-    def drop_member(self, upstream):
+    def remove_member(self, upstream):
         """An entry vanished."""
         self.members.pop(upstream, None)
 
@@ -192,15 +192,15 @@
     def __init__(self):
         super().__init__()
         self.daemons = DaemonsDouble()
-        self.board = LeaseView(clock=time.monotonic, takeover_window=4.0)
+        self.lease_view = LeaseView(clock=time.monotonic, takeover_window=4.0)
         self.recorder = MemberRecorder(records=None, log=self.log)
         self.recalled = {}
 
-    def take_daemons(self, entries):
+    def update_daemons(self, entries):
         """The daemons that are registered."""
         self.daemons = DaemonsDouble({entry.id: entry for entry in entries})
 
-    def recall(self, group, members):
+    def add_recorded_members(self, group, members):
         """A record found at the start."""
         self.recalled[group] = members
 
@@ -355,10 +355,10 @@
         leases = StoreLeases(store=client)
         seen = await leases.read("g")
         assert (seen.holder, seen.token) == ("", 0)
-        mine = await leases.take("g", "d1", seen)
+        mine = await leases.acquire("g", "d1", seen)
         assert (mine.holder, mine.token) == ("d1", 1)
-        assert await leases.take("g", "d2", seen) is None
-        next_one = await leases.take("g", "d2", await leases.read("g"))
+        assert await leases.acquire("g", "d2", seen) is None
+        next_one = await leases.acquire("g", "d2", await leases.read("g"))
         assert next_one.token == 2
 
     with_store(main)
@@ -399,7 +399,7 @@
         leases = StoreLeases(store=client)
         stand_in.lose = 1
         with pytest.raises(LeaseError):
-            await leases.take("g", "d1", await leases.read("g"))
+            await leases.acquire("g", "d1", await leases.read("g"))
         assert (await leases.read("g")).holder == "d1"
 
     with_store(main)
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -1,11 +1,10 @@
-"""Daemons over one group in virtual time, and callers that speak statements."""
+"""Daemons that share one group in virtual time, and callers that send statements."""
 
 import asyncio
 from dataclasses import replace
 
 from gypsum_platform.codec import read_statement
 from gypsum_policy.relays import ALL_WATCH_UP_TO
-from gypsum_sessions.borders import LeaseError, PromoteOutcome, PromotionLease
 from gypsum_sessions.callers.keys import digest_of
 from gypsum_sessions.catalog import (
     CatalogVersion,
@@ -15,6 +14,7 @@
     Workspace,
 )
 from gypsum_sessions.daemons.registry import DaemonEntry
+from gypsum_sessions.interfaces import LeaseError, PromoteOutcome, PromotionLease
 from gypsum_sessions.proxy import Proxy
 from gypsum_sessions.tuning import DEFAULT_SESSION_TUNING
 from tests.sessions.fakegroup import PROMOTE_TIME, FakeDialer, FakeGroup
@@ -22,24 +22,28 @@
 
 
 class FakeLeases:
-    """The store's leases; `down` refuses, `lose` acts and does not answer."""
+    """Promotion leases of a fake store.
+
+    `down` makes every call fail; the next `lose_answers` acquisitions succeed without
+    an answer.
+    """
 
     def __init__(self, *, group):
         self.group = group
         self.lease = PromotionLease(holder="", token=0, revision=0)
         self.down = False
-        self.lose = 0
+        self.lose_answers = 0
         self.calls = 0
-        self.boards = []
+        self.lease_views = []
 
-    def tell(self):
-        """All watches show the lease a moment later."""
+    def notify_views(self):
+        """Deliver the lease to the watches of all daemons, 3 ms later."""
         loop, lease = asyncio.get_running_loop(), self.lease
-        for board in self.boards:
-            loop.call_later(0.003, board.record, "db", lease)
+        for view in self.lease_views:
+            loop.call_later(0.003, view.record, "db", lease)
 
     async def read(self, group):
-        """The lease."""
+        """Read the lease."""
         self.calls += 1
         await asyncio.sleep(0.004)
         if self.down:
@@ -47,14 +51,14 @@
         return self.lease
 
     async def read_all(self):
-        """All leases and the store's revision."""
+        """Read all leases and the store's revision."""
         await asyncio.sleep(0.004)
         if self.down:
             raise LeaseError("down", step="read", peer="store")
         return {"db": self.lease}, self.group.revision
 
-    async def take(self, group, holder, seen):
-        """Take it if nobody did."""
+    async def acquire(self, group, holder, seen):
+        """Acquire the lease if nobody changed it."""
         self.calls += 1
         await asyncio.sleep(0.004)
         if self.down:
@@ -65,16 +69,16 @@
             holder=holder,
             token=seen.token + 1,
             revision=self.group.next_revision(),
-            chain_began=seen.next_chain,
+            chain_start=seen.next_chain_start,
         )
-        self.tell()
-        if self.lose:
-            self.lose -= 1
+        self.notify_views()
+        if self.lose_answers:
+            self.lose_answers -= 1
             raise LeaseError("no answer", step="take", peer=group)
         return self.lease
 
     async def settle(self, group, lease):
-        """Mark a lease as settled if it is still the same."""
+        """Mark a lease as settled if nobody changed it."""
         self.calls += 1
         await asyncio.sleep(0.004)
         if self.down:
@@ -83,24 +87,24 @@
             return None
         revision = self.group.next_revision()
         self.lease = replace(lease, settled=True, revision=revision)
-        self.tell()
+        self.notify_views()
         return self.lease
 
 
 class FakeMemberList:
-    """The list of upstreams as the store has it."""
+    """The store's list of upstreams."""
 
     def __init__(self, *, group):
         self.group = group
 
     async def read_all(self):
-        """All listed members."""
+        """Read all listed members."""
         await asyncio.sleep(0.004)
         return self.group.listing()
 
 
 class FakeRecords:
-    """The records of members as the store has them."""
+    """The store's records of members."""
 
     def __init__(self):
         self.saved = {}
@@ -117,42 +121,44 @@
 
 
 class FakePromoter:
-    """The platform's promotions, fenced by token; `late` orders act seconds later."""
+    """The platform's promotions, fenced by token; `delayed_orders` take effect late."""
 
     def __init__(self, *, group):
         self.group = group
-        self.highest = 0
+        self.highest_token = 0
         self.orders = []
-        self.late = []
+        self.delayed_orders = []
         self.down = False
 
     async def promote(self, group, upstream, holder, token):
-        """Carry out an order."""
+        """Run a promotion order."""
         self.orders.append((upstream, holder, token))
         await asyncio.sleep(0.004)
         if self.down:
             return PromoteOutcome.NOT_DONE
-        if self.late:
-            delay = self.late.pop(0)
-            asyncio.get_running_loop().call_later(delay, self.act, upstream, token)
+        if self.delayed_orders:
+            delay = self.delayed_orders.pop(0)
+            asyncio.get_running_loop().call_later(
+                delay, self.apply_order, upstream, token
+            )
             await asyncio.sleep(1.0)
             return PromoteOutcome.UNANSWERED
-        if token < self.highest or self.group[upstream].dead:
+        if token < self.highest_token or self.group[upstream].dead:
             return PromoteOutcome.REFUSED
-        self.act(upstream, token)
+        self.apply_order(upstream, token)
         return PromoteOutcome.ACCEPTED
 
-    def act(self, upstream, token):
-        """The order takes effect a moment later, if its token still counts."""
-        if token < self.highest:
+    def apply_order(self, upstream, token):
+        """Promote after PROMOTE_TIME, unless a higher token was used before."""
+        if token < self.highest_token:
             return
-        self.highest = token
+        self.highest_token = token
         loop = asyncio.get_running_loop()
         loop.call_later(PROMOTE_TIME, self.group.promote, upstream)
 
 
 class Rig:
-    """One group, some daemons, and what they share."""
+    """One group, the daemons that serve it, and the fakes that they share."""
 
     def __init__(
         self,
@@ -184,7 +190,7 @@
             self.proxies.append(self.make_proxy(name, names, tuning, version))
 
     def make_proxy(self, name, names, tuning, version):
-        """One daemon, configured."""
+        """Return a configured daemon."""
         proxy = Proxy(
             name=name,
             domain="a",
@@ -203,20 +209,20 @@
             all_watch_up_to=self.all_watch_up_to,
         )
         self.links.proxies[name] = proxy
-        # These daemons have been running for long.
+        # As if the daemon had been running for a long time.
         proxy.daemons.rejoined = True
-        proxy.take_daemons(
+        proxy.update_daemons(
             [DaemonEntry(id=name, domain="a", link=name) for name in names]
         )
-        self.leases.boards.append(proxy.board)
+        self.leases.lease_views.append(proxy.lease_view)
         proxy.offer_catalog(self.configured(version, self.keys, self.caps), "test")
-        proxy.take_members(self.group.listing())
+        proxy.update_members(self.group.listing())
         self.catch_up(proxy)
         proxy.recorder.set_recorded("db", self.group.listing())
         return proxy
 
     def configured(self, version, keys, caps=None, **changes):
-        """A configuration with the rig's connections.
+        """Return a configuration with the rig's connection limit.
 
         `keys` and `caps` are by workspace.
         """
@@ -229,7 +235,7 @@
             and {
                 name: Workspace(name=name, cap=caps and caps.get(name)) for name in keys
             },
-            holders={
+            key_workspaces={
                 digest_of(key.encode()): name
                 for name, known in (keys or {}).items()
                 for key in known
@@ -237,22 +243,22 @@
         )
 
     def catch_up(self, proxy):
-        """A daemon's watch of the leases has shown it all that there is."""
-        proxy.board.record("db", self.leases.lease)
-        proxy.board.record_revision(self.group.revision)
+        """Bring a daemon's view of the leases up to date."""
+        proxy.lease_view.record("db", self.leases.lease)
+        proxy.lease_view.record_revision(self.group.revision)
 
     def log(self, part, event, **fields):
-        """Keep a line; its fields must not hide what every line has."""
+        """Record an event; its fields must not override those that every line has."""
         assert not fields.keys() & {"time", "daemon"}, (part, event, fields)
         self.lines.append((self.loop.time(), part, event, fields))
 
     @property
     def proxy(self):
-        """The first daemon."""
+        """Return the first daemon."""
         return self.proxies[0]
 
     def cut(self, proxy, upstream):
-        """A daemon loses its path to an upstream: open connections go silent."""
+        """Cut a daemon's path to an upstream; open connections give no more answers."""
         dialer = proxy.context.dialer.dialer
         dialer.cut.add(upstream)
         for conn in list(self.group[upstream].conns):
@@ -260,20 +266,20 @@
                 conn.silent = True
 
     async def settle(self, timeout=2.0):
-        """Wait until every daemon has found a leader."""
+        """Wait until every owner has found the leader."""
         for proxy in self.owners():
             assert await proxy.groups["db"].watch.wait_leader(timeout)
 
     def owners(self):
-        """The daemons that hold connections to the group."""
+        """Return the daemons that hold connections to the group."""
         return [proxy for proxy in self.proxies if "db" in proxy.groups]
 
     def others(self):
-        """The daemons that send statements to owners."""
+        """Return the daemons that forward statements to owners."""
         return [proxy for proxy in self.proxies if "db" not in proxy.groups]
 
     def caller(self, database="own", proxy=None, key=""):
-        """A caller of one database."""
+        """Return a caller with a session for a database."""
         self.callers += 1
         digest = digest_of(key.encode())
         session = (proxy or self.proxy).open_session(database, digest)
@@ -281,7 +287,7 @@
 
 
 class FakeCaller:
-    """Sends statement texts over a session."""
+    """A caller that sends statement texts to its session."""
 
     def __init__(self, *, session, number):
         self.session = session
@@ -290,18 +296,18 @@
 
     @property
     def next_request(self):
-        """The id that the next statement will have: unique over all daemons."""
+        """The request id of the next statement, unique among all daemons."""
         return f"{self.number}-{self.sent + 1}"
 
     async def send(self, text):
-        """Run one statement text; the reply."""
+        """Run a statement and return its reply."""
         request = self.next_request
         self.sent += 1
         return await self.session.run(request, read_statement(text))
 
 
 def catalog(version=1, **changes):
-    """A configuration with one database for each read rule."""
+    """Return a configuration with one database for each read rule."""
     rules = {
         "primary": (ReadRule.PRIMARY, 0.0),
         "bounded": (ReadRule.BOUNDED, 1.5),
--- a/tests/sessions/test_confirm.py
+++ b/tests/sessions/test_confirm.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from gypsum_sessions.borders import PromotionLease
+from gypsum_sessions.interfaces import PromotionLease
 from gypsum_sessions.replies import Refusal
 from tests.sessions.fakegroup import FakeMember
 from tests.sessions.rig import Rig
@@ -45,7 +45,7 @@
         rig.group["u1"].cut_from.update({"u2", "u3"})
         joined = FakeMember(id="u4", group=rig.group)
         rig.group.members.append(joined)
-        rig.proxy.take_members(rig.group.listing())
+        rig.proxy.update_members(rig.group.listing())
         reply = await rig.caller("own").send("WRITE a 1")
         assert reply.refusal is Refusal.IN_DOUBT
 
@@ -186,7 +186,7 @@
     async def main():
         rig = await make_settled_rig()
         rig.group["u2"].not_receiving = True
-        rig.proxy.take_members(
+        rig.proxy.update_members(
             [
                 replace(member, leaving=True) if member.id == "u3" else member
                 for member in rig.group.listing()
@@ -236,10 +236,10 @@
 
     async def main():
         rig = await make_settled_rig()
-        rig.proxy.keep_running(rig.proxy.keep_leases_known)
+        rig.proxy.keep_running(rig.proxy.refresh_leases)
         for member in rig.group.members:
             member.joined = rig.group.next_revision()
-        rig.proxy.take_members(rig.group.listing())
+        rig.proxy.update_members(rig.group.listing())
         caller = rig.caller("own")
         runs = rig.group["u1"].runs
         writing = asyncio.create_task(caller.send("WRITE a 1"))
@@ -261,13 +261,13 @@
     async def main():
         rig = await make_settled_rig()
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
-        rig.proxy.board.record("db", lease)
+        rig.proxy.lease_view.record("db", lease)
         for name in ("u2", "u3"):
             rig.group[name].crash()
             rig.group[name].restart()
         caller = rig.caller("own")
         assert (await caller.send("WRITE a 1")).refusal is Refusal.IN_DOUBT
-        rig.proxy.board.record("db", replace(lease, settled=True))
+        rig.proxy.lease_view.record("db", replace(lease, settled=True))
         assert (await caller.send("WRITE a 2")).ok
 
     run(main())
@@ -280,7 +280,7 @@
         rig = await make_settled_rig()
         assert (await rig.caller("own").send("WRITE a 1")).ok
         lease = PromotionLease(holder="d9", token=1, revision=rig.group.next_revision())
-        rig.proxy.board.record("db", lease)
+        rig.proxy.lease_view.record("db", lease)
         assert (await rig.caller("own").send("WRITE a 2")).ok
 
     run(main())
--- a/tests/sessions/test_departed_members.py
+++ b/tests/sessions/test_departed_members.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gypsum_sessions.takeover.attempt import DEPARTED_MEMBER_TIMEOUT
-from tests.sessions.chaos import keep_listed
+from tests.sessions.chaos import sync_member_lists
 from tests.sessions.fakegroup import PROMOTE_TIME
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
@@ -12,8 +12,8 @@
 def start_listing(rig):
     """Keep the member list and its grace periods up to date as in a daemon."""
     for proxy in rig.proxies:
-        proxy.keep_running(proxy.tend)
-    rig.proxy.keep_running(lambda: keep_listed(rig))
+        proxy.keep_running(proxy.run_maintenance)
+    rig.proxy.keep_running(lambda: sync_member_lists(rig))
 
 
 async def lose_the_only_copy(rig):
--- a/tests/sessions/test_drain.py
+++ b/tests/sessions/test_drain.py
@@ -1,4 +1,4 @@
-"""A daemon that is told to stop cuts nobody off."""
+"""Draining a daemon interrupts no caller."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from gypsum_policy.draining import make_drain_plan
 from gypsum_sessions.callers.drain import drain
 from gypsum_sessions.replies import Refusal, SessionState
-from tests.sessions.connected import connect
+from tests.sessions.connections import connect
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 
@@ -41,7 +41,7 @@
         await asyncio.sleep(1.0)
         assert not rig.proxy.ready
         caller, link = await connect(rig.proxy)
-        caller.statement("r1", read_statement("WRITE a 1"))
+        caller.on_statement("r1", read_statement("WRITE a 1"))
         await task
         assert link.replies[0].ok
         assert 3.0 < stopped[0] < 3.6
@@ -55,10 +55,10 @@
         await rig.settle()
         caller, link = await connect(rig.proxy)
         task = asyncio.create_task(drain(rig.proxy, make_drain_plan(6.0), lambda: None))
-        caller.statement("r1", read_statement("BEGIN"))
-        caller.statement("r2", read_statement("WRITE a 1"))
+        caller.on_statement("r1", read_statement("BEGIN"))
+        caller.on_statement("r2", read_statement("WRITE a 1"))
         await asyncio.sleep(2.9)
-        caller.statement("r3", read_statement("COMMIT"))
+        caller.on_statement("r3", read_statement("COMMIT"))
         await task
         assert [reply.ok for reply in link.replies] == [True, True, True]
         assert rig.group.commits == 1
@@ -67,23 +67,23 @@
 
 
 def test_a_transaction_that_takes_longer_is_told_so_and_not_cut():
-    """Symptom: a statement is read and its connection closed without an answer.
+    """Guards against a statement that is read but never answered.
 
-    Sequence: the drain rolls a transaction back, the caller's next statement comes
-    while it does. Cause: the connection was closed once the rollback was done.
+    The caller's statement arrives while the drain rolls its transaction back; the
+    connection must not be closed once the rollback is done.
     """
 
     async def main():
         rig = Rig()
         await rig.settle()
         caller, link = await connect(rig.proxy)
-        caller.statement("r1", read_statement("BEGIN"))
-        caller.statement("r2", read_statement("WRITE a 1"))
+        caller.on_statement("r1", read_statement("BEGIN"))
+        caller.on_statement("r2", read_statement("WRITE a 1"))
         await asyncio.sleep(0.1)
         task = asyncio.create_task(drain(rig.proxy, make_drain_plan(6.0), lambda: None))
         await asyncio.sleep(4.8)
-        caller.statement("r3", read_statement("WRITE b 2"))
-        caller.statement("r4", read_statement("ROLLBACK"))
+        caller.on_statement("r3", read_statement("WRITE b 2"))
+        caller.on_statement("r4", read_statement("ROLLBACK"))
         await task
         assert link.replies[2].refusal is Refusal.ABORTED
         assert link.replies[3].state is SessionState.IDLE
@@ -93,11 +93,11 @@
 
 
 def test_a_statement_that_meets_the_end_of_its_transaction_opens_no_other():
-    """Symptom: a statement runs outside its client's transaction.
+    """Guards against a statement that runs outside its caller's transaction.
 
-    Sequence: an idle transaction is being rolled back, which takes a round trip; the
-    caller's next statement arrives meanwhile. Cause: the session still counted as in
-    a transaction, found no connection, and opened a new one.
+    It arrives during the round trip in which an idle transaction is rolled back. If the
+    session still counted as in a transaction, it would find no connection and open a
+    new transaction.
     """
 
     async def main():
@@ -107,7 +107,7 @@
         await caller.send("BEGIN")
         await caller.send("WRITE a 1")
         runs = rig.group["u1"].runs
-        ending = asyncio.create_task(caller.session.abort_open())
+        ending = asyncio.create_task(caller.session.abort_transaction())
         await asyncio.sleep(0)
         reply = await caller.send("WRITE b 2")
         await ending
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -80,7 +80,7 @@
 def update_lists(rig):
     """Give all daemons the list as it is now."""
     for proxy in rig.proxies:
-        proxy.take_members(rig.group.listing())
+        proxy.update_members(rig.group.listing())
         rig.catch_up(proxy)
 
 
@@ -110,8 +110,8 @@
     async def main():
         rig = Rig()
         await rig.settle()
-        lease = await rig.leases.take("db", "other", rig.leases.lease)
-        rig.proxy.board.record("db", lease)
+        lease = await rig.leases.acquire("db", "other", rig.leases.lease)
+        rig.proxy.lease_view.record("db", lease)
         rig.group["u2"].restart_empty()
         update_lists(rig)
         known = known_replicas(rig.proxy.groups["db"], "u1")
--- a/tests/sessions/test_lease_view.py
+++ b/tests/sessions/test_lease_view.py
@@ -1,6 +1,6 @@
 """Which members each takeover knows, by the store's revisions."""
 
-from gypsum_sessions.borders import PromotionLease
+from gypsum_sessions.interfaces import PromotionLease
 from gypsum_sessions.takeover.lease_view import INITIAL_WINDOW, LeaseView
 
 WINDOW = 4.0
@@ -31,7 +31,7 @@
         token=token,
         revision=revision,
         settled=settled,
-        chain_began=chain,
+        chain_start=chain,
     )
 
 
@@ -63,12 +63,12 @@
 def test_leases_that_follow_each_other_unsettled_are_one_chain():
     view, _ = make_view()
     view.record("g", lease(1, 20))
-    second = lease(2, 30, chain=lease(1, 20).next_chain)
+    second = lease(2, 30, chain=lease(1, 20).next_chain_start)
     view.record("g", second)
     view.record_revision(40)
     assert not view.member_known("g", 25)
-    assert second.next_chain == 20
-    assert lease(2, 35, settled=True, chain=20).next_chain == 0
+    assert second.next_chain_start == 20
+    assert lease(2, 35, settled=True, chain=20).next_chain_start == 0
 
 
 def test_a_lease_without_a_holder_is_not_a_takeover():
--- a/tests/sessions/test_lost_lease.py
+++ b/tests/sessions/test_lost_lease.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gypsum_sessions.borders import PromotionLease
+from gypsum_sessions.interfaces import PromotionLease
 from gypsum_sessions.takeover.reasons import Reason
 from tests.sessions.rig import Rig
 from tests.sessions.test_lease_view import lease, make_view
@@ -22,11 +22,11 @@
         await asyncio.sleep(0.1)
         rig.leases.lease = before
         assert not await second.takeovers["db"].acquire_lease(Reason.NO_PRIMARY)
-        await asyncio.sleep(second.tuning.lease_rest)
+        await asyncio.sleep(second.tuning.lease_min_age)
         assert await second.takeovers["db"].acquire_lease(Reason.NO_PRIMARY)
         taken = second.takeovers["db"].lease
         assert taken.token > held.token
-        assert taken.began == held.began
+        assert taken.takeover_start == held.takeover_start
 
     run(main())
 
@@ -44,4 +44,4 @@
     seen = PromotionLease(holder="", token=0, revision=0)
     found = view.newest("g", seen)
     assert (found.holder, found.token, found.revision) == ("d", 4, 0)
-    assert found.next_chain == 8
+    assert found.next_chain_start == 8
--- a/tests/sessions/test_mass_restart.py
+++ b/tests/sessions/test_mass_restart.py
@@ -80,7 +80,7 @@
     await asyncio.sleep(number * START_GAP)
     names = [proxy.name for proxy in rig.proxies]
     proxy = rig.make_proxy(names[number], names, tuning, 1)
-    proxy.keep_running(proxy.tend)
+    proxy.keep_running(proxy.run_maintenance)
     began = rig.loop.time()
     calling = asyncio.create_task(
         run_load(rig, proxy, Random(number), RETURN_RATE, 2.0, results, WAITING_CALLERS)
@@ -97,7 +97,7 @@
     for member in rig.group.members:
         member.limit = connections
     for proxy in rig.proxies:
-        proxy.keep_running(proxy.tend)
+        proxy.keep_running(proxy.run_maintenance)
     await rig.settle()
     await run_normal_load(rig)
     lose_power(rig)
@@ -121,7 +121,9 @@
     The daemons that restart first would take all connections that the upstreams have
     left, and many idle connections open before the loss would still be counted.
     """
-    full_shares = replace(DEFAULT_SESSION_TUNING, modest_for=0.0, idle_limit=60.0)
+    full_shares = replace(
+        DEFAULT_SESSION_TUNING, startup_limit_duration=0.0, idle_timeout=60.0
+    )
     _, results = run(run_power_loss(DEFAULT_SESSION_TUNING))
     _, results_with_full_shares = run(run_power_loss(full_shares))
     assert refused(results) <= 0.6 * refused(results_with_full_shares)
--- a/tests/sessions/test_peer_reachability.py
+++ b/tests/sessions/test_peer_reachability.py
@@ -80,10 +80,10 @@
         rig.cut(cut, "u1")
         await asyncio.sleep(1.5)
         access = cut.access("db")
-        assert access.elsewhere() is not None
+        assert access.remote_access() is not None
         cut.context.dialer.dialer.cut.clear()
         await asyncio.sleep(1.0)
-        assert access.elsewhere() is None
+        assert access.remote_access() is None
         assert (await rig.caller("own", cut).send("WRITE a 1")).ok
 
     run(main())
@@ -130,7 +130,7 @@
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
-        rig.proxy.board.record_revision(0)
+        rig.proxy.lease_view.record_revision(0)
         assert rig.proxy.ready
         for upstream in ("u1", "u2"):
             rig.cut(rig.proxy, upstream)
@@ -157,7 +157,7 @@
         rig.cut(one, "u1")
         await asyncio.sleep(1.5)
         access = one.access("db")
-        assert access.elsewhere() is not None
+        assert access.remote_access() is not None
         rig.group["u1"].crash()
         other.groups["db"].watch.mark_lost(rig.loop.clock())
         reply = await rig.caller("primary", one).send("WRITE a 1")
--- a/tests/sessions/test_pool.py
+++ b/tests/sessions/test_pool.py
@@ -9,7 +9,7 @@
     UpstreamError,
     UpstreamLost,
     UpstreamRefused,
-    UpstreamSilent,
+    UpstreamTimeout,
 )
 from gypsum_sessions.tuning import DEFAULT_SESSION_TUNING
 from gypsum_sessions.upstreams.pool import ConnPool
@@ -80,7 +80,7 @@
     async def main():
         pool, _, _ = make_pool(limit=1)
         held = await pool.acquire(values={}, timeout=1.0)
-        with pytest.raises(UpstreamSilent):
+        with pytest.raises(UpstreamTimeout):
             await pool.acquire(values={}, timeout=0.2)
         pool.release(held)
         pool.release(await pool.acquire(values={}, timeout=0.2))
@@ -118,7 +118,7 @@
             await asyncio.sleep(0.01)
         assert dialer.dials <= 6
         group["u1"].restart()
-        await asyncio.sleep(DEFAULT_SESSION_TUNING.redial_most)
+        await asyncio.sleep(DEFAULT_SESSION_TUNING.redial_backoff_max)
         pool.release(await pool.acquire(values={}, timeout=1.0))
         assert pool.dial_backoff == 0.0
 
@@ -171,7 +171,7 @@
             await asyncio.sleep(0.01)
         assert 8 <= dialer.dials <= 11
         group["u1"].limit = 9
-        await asyncio.sleep(DEFAULT_SESSION_TUNING.redial_full)
+        await asyncio.sleep(DEFAULT_SESSION_TUNING.redial_delay_at_limit)
         pool.release(await pool.acquire(values={}, timeout=1.0))
 
     run(main())
@@ -202,7 +202,7 @@
             pool.release(pooled)
         pool.close_surplus()
         assert pool.open_count == 3
-        await asyncio.sleep(DEFAULT_SESSION_TUNING.idle_limit + 0.1)
+        await asyncio.sleep(DEFAULT_SESSION_TUNING.idle_timeout + 0.1)
         pool.close_surplus()
         assert pool.open_count == 1 == len(group["u1"].conns)
 
@@ -289,12 +289,12 @@
         await rig.settle()
         group = rig.proxy.groups["db"]
         tuning = rig.proxy.tuning
-        rig.proxy.keep_running(rig.proxy.tend)
+        rig.proxy.keep_running(rig.proxy.run_maintenance)
         pool = group.upstreams["u1"].pool
         assert pool.limit == MIN_CONNECTIONS
         held = [await pool.acquire(values={}, timeout=1.0) for _ in range(pool.limit)]
         waiting = asyncio.create_task(pool.acquire(values={}, timeout=9.0))
-        await asyncio.sleep(tuning.modest_for + 0.5)
+        await asyncio.sleep(tuning.startup_limit_duration + 0.5)
         assert pool.limit > MIN_CONNECTIONS
         for pooled in (*held, await waiting):
             pool.release(pooled)
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import replace
 
-from gypsum_sessions.borders import PromoteOutcome, PromotionLease
+from gypsum_sessions.interfaces import PromoteOutcome, PromotionLease
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 from tests.sessions.writers import check_nothing_lost, start_writers, write_for
@@ -48,7 +48,7 @@
         writers = start_writers(rig, 8.0, results)
         await asyncio.sleep(1.0)
         rig.group["u1"].cut_from.update({"u2", "u3"})
-        rig.promoter.late = [2.0]
+        rig.promoter.delayed_orders = [2.0]
         await asyncio.sleep(1.6)
         rig.group["u1"].cut_from.clear()
         await asyncio.gather(*writers)
@@ -69,7 +69,7 @@
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
-        rig.promoter.late = [6.0]
+        rig.promoter.delayed_orders = [6.0]
         results = []
         writer = asyncio.create_task(write_for(rig, rig.proxy, 12.0, results))
         await asyncio.sleep(0.5)
@@ -97,11 +97,11 @@
         await rig.settle()
         group = rig.proxy.groups["db"]
         left = PromotionLease(holder="dead", token=3, revision=2)
-        rig.proxy.board.record_initial("db", replace(left, settled=True))
+        rig.proxy.lease_view.record_initial("db", replace(left, settled=True))
         assert not group.takeover_in_progress()
         assert (await rig.caller("own").send("WRITE a 1")).ok
         rig.leases.lease = left
-        rig.proxy.board.record_initial("db", left)
+        rig.proxy.lease_view.record_initial("db", left)
         assert group.takeover_in_progress()
         await asyncio.sleep(1.1)
         assert not group.takeover_in_progress()
@@ -136,7 +136,7 @@
     async def main():
         rig = Rig(daemons=1)
         await rig.settle()
-        rig.promoter.late = [6.0, 6.0, 6.0, 6.0]
+        rig.promoter.delayed_orders = [6.0, 6.0, 6.0, 6.0]
         rig.group["u1"].unresponsive = True
         while not rig.promoter.orders:
             await asyncio.sleep(0.05)
@@ -162,10 +162,10 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        left = await rig.leases.take("db", "dead", rig.leases.lease)
+        left = await rig.leases.acquire("db", "dead", rig.leases.lease)
         for name in ("u2", "u3"):
             rig.group[name].paused = 2
-        await asyncio.sleep(rig.proxy.tuning.settled_after + 1.5)
+        await asyncio.sleep(rig.proxy.tuning.takeover_max_duration + 1.5)
         assert rig.leases.lease.token == left.token + 1
         assert rig.leases.lease.settled
         assert [rig.group[name].paused for name in ("u2", "u3")] == [0, 0]
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -25,7 +25,7 @@
         leads=False,
         term=1,
         received=Position(term=term, index=index),
-        held_term=2,
+        paused_term=2,
         lag_ms=0.0,
     )
     return PausedReplica(upstream=name, leaving=leaving, status=status)
@@ -178,7 +178,7 @@
             for member in rig.group.listing()
         ]
         for proxy in rig.proxies:
-            proxy.take_members(leaving)
+            proxy.update_members(leaving)
         await writer
         assert rig.group.leader is not rig.group["u1"]
         check_nothing_lost(rig, results)
@@ -218,7 +218,7 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.promoter.late = [4.0, 2.5]
+        rig.promoter.delayed_orders = [4.0, 2.5]
         results = []
         writers = start_writers(rig, 15.0, results)
         await asyncio.sleep(1.0)
@@ -235,7 +235,7 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.promoter.highest = 3
+        rig.promoter.highest_token = 3
         rig.group["u1"].unresponsive = True
         await asyncio.sleep(12.0)
         tokens = [token for _, _, token in rig.promoter.orders]
@@ -278,9 +278,9 @@
         group = proxy.groups["db"]
         group.update_members([])
         await asyncio.sleep(2.0)
-        proxy.take_members([m for m in rig.group.listing() if m.id != "u1"])
+        proxy.update_members([m for m in rig.group.listing() if m.id != "u1"])
         await asyncio.sleep(1.5)
-        proxy.take_members(rig.group.listing())
+        proxy.update_members(rig.group.listing())
         await asyncio.sleep(1.0)
         assert rig.promoter.orders == []
         assert all(member.paused == 0 for member in rig.group.members)
@@ -368,7 +368,7 @@
         await rig.settle()
         rig.leases.down = True
         listing = rig.group.listing()
-        rig.proxy.take_members(
+        rig.proxy.update_members(
             [replace_leaving(item) if item.id == "u1" else item for item in listing]
         )
         caller = rig.caller("own")
@@ -401,7 +401,7 @@
         rig.group["u1"].crash()
         await asyncio.sleep(5.0)
         late = rig.make_proxy("late", ["late"], rig.proxy.tuning, 1)
-        late.take_members([item for item in old_view if item.id != "u4"])
+        late.update_members([item for item in old_view if item.id != "u4"])
         await asyncio.sleep(4.0)
         assert rig.promoter.orders == []
         assert late.groups["db"].watch.leader == "u4"
