--- a/packages/sessions/gypsum_sessions/daemons/following.py
+++ b/packages/sessions/gypsum_sessions/daemons/feedfollower.py
@@ -15,8 +15,14 @@
     is_current,
 )
 from gypsum_policy.revisions import era_of, label, same_era
-from gypsum_sessions.daemons.asks import FeedState, Fetch, Follow, News, Unfollow
 from gypsum_sessions.daemons.packing import PackingError, unpack
+from gypsum_sessions.daemons.peermessages import (
+    FeedState,
+    Fetch,
+    Follow,
+    News,
+    Unfollow,
+)
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "relay"
--- a/packages/sessions/gypsum_sessions/daemons/homes.py
+++ b/packages/sessions/gypsum_sessions/daemons/homes.py
@@ -6,7 +6,7 @@
 import asyncio
 
 from gypsum_policy.usage import HOMES, Cap, home_group, place_of
-from gypsum_sessions.daemons.asks import LeaveQuestion
+from gypsum_sessions.daemons.peermessages import LeaveQuestion
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "usage"
--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -11,7 +11,7 @@
 
 from gypsum_policy.ownership import OwnerView, owners_to_ask
 from gypsum_policy.pace import Pace
-from gypsum_sessions.daemons.asks import (
+from gypsum_sessions.daemons.peermessages import (
     Answer,
     Current,
     LeaderAnswer,
--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -8,8 +8,8 @@
 
 from gypsum_policy.relays import BEAT_EVERY, MOST_BYTES, PIECE_BYTES, PIECE_PAUSE
 from gypsum_policy.revisions import same_era
-from gypsum_sessions.daemons.asks import Current, FeedState, News, Piece, encode
 from gypsum_sessions.daemons.packing import pack
+from gypsum_sessions.daemons.peermessages import Current, FeedState, News, Piece, encode
 
 
 @dataclass(slots=True, kw_only=True)
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -12,7 +12,7 @@
 
 from gypsum_policy.ownership import is_last_resort
 from gypsum_sessions.catalog import Route
-from gypsum_sessions.daemons.asks import Answer, Ask, EndTransaction
+from gypsum_sessions.daemons.peermessages import Answer, Ask, EndTransaction
 from gypsum_sessions.daemons.peers import PeerLost
 from gypsum_sessions.daemons.standins import STAND_INS
 from gypsum_sessions.execution.transactions import aborted
--- a/packages/sessions/gypsum_sessions/daemons/ownerdesk.py
+++ b/packages/sessions/gypsum_sessions/daemons/requesthandler.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from gypsum_policy.ownership import LOST_FOR
-from gypsum_sessions.daemons.asks import (
+from gypsum_sessions.daemons.peermessages import (
     Answer,
     Ask,
     EndTransaction,
--- a/packages/sessions/gypsum_sessions/daemons/standins.py
+++ b/packages/sessions/gypsum_sessions/daemons/standins.py
@@ -1,7 +1,7 @@
 """Makes those that come next ready when all owners of a group leave at once."""
 
 from gypsum_policy.leaving import stand_in
-from gypsum_sessions.daemons.asks import TakeUp
+from gypsum_sessions.daemons.peermessages import TakeUp
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "drain"
--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -16,8 +16,8 @@
     lone_cap,
     stand_in_cap,
 )
-from gypsum_sessions.daemons.asks import LeaveAnswer, LeaveQuestion
 from gypsum_sessions.daemons.homes import ANSWER_TIME, FORWARD_TIME, PART, Homes
+from gypsum_sessions.daemons.peermessages import LeaveAnswer, LeaveQuestion
 
 # A stand-in that was not asked for this long starts anew, seconds: the home has counted
 # meanwhile.
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -8,11 +8,11 @@
 from gypsum_sessions.callers.requestlog import RequestLog
 from gypsum_sessions.callers.session import Session
 from gypsum_sessions.catalog import Catalog
-from gypsum_sessions.daemons.following import Following
-from gypsum_sessions.daemons.ownerdesk import OwnerDesk
+from gypsum_sessions.daemons.feedfollower import Following
 from gypsum_sessions.daemons.peers import Peers
 from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
 from gypsum_sessions.daemons.relay import Relay
+from gypsum_sessions.daemons.requesthandler import OwnerDesk
 from gypsum_sessions.daemons.usage import Usage
 from gypsum_sessions.daemons.warmlinks import WarmLinks
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
--- a/packages/sessions/gypsum_sessions/takeover/reach.py
+++ b/packages/sessions/gypsum_sessions/takeover/reach.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gypsum_policy.suspicion import ASK_EVERY, usable_helpers, vouches
-from gypsum_sessions.daemons.asks import LeaderQuestion
+from gypsum_sessions.daemons.peermessages import LeaderQuestion
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "reach"
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -21,7 +21,7 @@
 )
 from gypsum_platform.takers import ConfigTaker, OwnTaker, UpstreamTaker
 from gypsum_sessions.borders import LeaseError, PromoteOutcome
-from gypsum_sessions.daemons.asks import News
+from gypsum_sessions.daemons.peermessages import News
 from gypsum_sessions.daemons.relay import Relay
 from gypsum_sessions.takeover.leaseboard import LeaseBoard
 from gypsum_sessions.upstreams.recorder import MemberRecorder
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -7,8 +7,8 @@
 
 from gypsum_policy.leaving import plan_for
 from gypsum_sessions.callers.drain import drain
-from gypsum_sessions.daemons import following
-from gypsum_sessions.daemons.following import Following
+from gypsum_sessions.daemons import feedfollower
+from gypsum_sessions.daemons.feedfollower import Following
 from gypsum_sessions.daemons.relay import Relay
 from tests.sessions.feedrig import SLOW_LINK, FeedRig, large_config
 from tests.sessions.vclock import run
@@ -310,8 +310,8 @@
 
 
 BREAKS = {
-    "everybody is current": (following, "is_current", always),
-    "gaps are overlooked": (following, "continues", always),
+    "everybody is current": (feedfollower, "is_current", always),
+    "gaps are overlooked": (feedfollower, "continues", always),
     "nobody asks for whole lists": (Following, "fetch", never),
     "who has nothing to tell is followed on": (Following, "useless", never),
     "watchers follow nobody": (Following, "store_lost", never),
--- a/tests/sessions/test_asks.py
+++ b/tests/sessions/test_peer_messages.py
@@ -4,8 +4,8 @@
 import pytest
 
 from gypsum_core.records import Position
-from gypsum_sessions.daemons import asks
-from gypsum_sessions.daemons.asks import Answer, decode, encode
+from gypsum_sessions.daemons import peermessages
+from gypsum_sessions.daemons.peermessages import Answer, decode, encode
 from gypsum_sessions.replies import Reply
 
 # The fields of each message in their order. A field may only come behind these.
@@ -43,13 +43,13 @@
 
     Sequence: a fleet is rolled to a new version. Cause: a field was put between others.
     """
-    message = getattr(asks, name)
+    message = getattr(peermessages, name)
     assert list(message.__struct_fields__) == PLACES[name].split()
 
 
 @pytest.mark.parametrize("name", FIRST_VERSION)
 def test_fields_that_came_later_may_be_missing(name):
-    message = getattr(asks, name)
+    message = getattr(peermessages, name)
     later = PLACES[name].split()[FIRST_VERSION[name] :]
     assert later
     assert set(later) <= set(message.__struct_fields__)
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gypsum_sessions.daemons.asks import Ask, MessageError, decode, encode
+from gypsum_sessions.daemons.peermessages import Ask, MessageError, decode, encode
 from gypsum_sessions.replies import Refusal, SessionState
 from gypsum_sessions.statements import Statement, StatementKind
 from tests.sessions.owners import (
--- a/tests/sessions/test_store_return.py
+++ b/tests/sessions/test_store_return.py
@@ -7,8 +7,8 @@
 import pytest
 
 from gypsum_policy.revisions import in_era
-from gypsum_sessions.daemons.asks import FeedState
-from gypsum_sessions.daemons.following import WatchedFeed
+from gypsum_sessions.daemons.feedfollower import WatchedFeed
+from gypsum_sessions.daemons.peermessages import FeedState
 from gypsum_sessions.daemons.relay import Relay
 from tests.sessions import feedrig
 from tests.sessions.feedrig import SLOW_LINK, FeedRig
--- a/tests/sessions/test_usage.py
+++ b/tests/sessions/test_usage.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gypsum_policy.usage import WINDOW, Cap
-from gypsum_sessions.daemons.asks import LeaveAnswer
+from gypsum_sessions.daemons.peermessages import LeaveAnswer
 from gypsum_sessions.daemons.usage import Usage
 from gypsum_sessions.replies import Refusal
 from tests.sessions.rig import Rig
