--- a/packages/sessions/gypsum_sessions/daemons/feedfollower.py
+++ b/packages/sessions/gypsum_sessions/daemons/feedfollower.py
@@ -18,9 +18,9 @@
 from gypsum_sessions.daemons.packing import PackingError, unpack
 from gypsum_sessions.daemons.peermessages import (
     FeedState,
-    Fetch,
+    FeedUpdate,
+    FetchList,
     Follow,
-    News,
     Unfollow,
 )
 from gypsum_sessions.daemons.peers import PeerLost
@@ -45,7 +45,7 @@
 
     known: int = 0
     state: FeedState | None = None
-    waiting: list[News] = field(default_factory=list)
+    waiting: list[FeedUpdate] = field(default_factory=list)
     pieces: dict[int, bytes] = field(default_factory=dict)
     pieces_of: int = 0
     asked_at: float = float("-inf")
@@ -193,7 +193,7 @@
             return feed.waiting.pop(0)
         if self.current(name) and feed.state.revision > feed.known:
             state = feed.state
-            return News(
+            return FeedUpdate(
                 feed=name, since=state.since, revision=state.revision, changed={}
             )
         return None
@@ -214,7 +214,7 @@
         self.log(
             PART, "whole list asked for", watcher=self.link.peer, **progress(name, feed)
         )
-        self.link.tell(Fetch(feed=name))
+        self.link.tell(FetchList(feed=name))
 
     # From the link
 
@@ -255,7 +255,7 @@
             self.log(PART, "unreadable list", feed=message.feed, error=str(exc))
             return
         feed.waiting.append(
-            News(
+            FeedUpdate(
                 feed=message.feed,
                 revision=message.revision,
                 whole=True,
--- a/packages/sessions/gypsum_sessions/daemons/homes.py
+++ b/packages/sessions/gypsum_sessions/daemons/homes.py
@@ -6,7 +6,7 @@
 import asyncio
 
 from gypsum_policy.usage import HOMES, Cap, home_group, place_of
-from gypsum_sessions.daemons.peermessages import LeaveQuestion
+from gypsum_sessions.daemons.peermessages import GrantRequest
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "usage"
@@ -147,4 +147,4 @@
 
 def nothing_wanted(call):
     """A question that only wants an answer."""
-    return LeaveQuestion(call=call, workspace="", wanted=0, cap=NO_CAP)
+    return GrantRequest(call=call, workspace="", wanted=0, cap=NO_CAP)
--- a/packages/sessions/gypsum_sessions/daemons/peermessages.py
+++ b/packages/sessions/gypsum_sessions/daemons/peermessages.py
@@ -20,7 +20,7 @@
     """Bytes that are no message between daemons."""
 
 
-class Ask(Struct, frozen=True, kw_only=True, array_like=True, tag="ask"):
+class StatementRequest(Struct, frozen=True, kw_only=True, array_like=True, tag="ask"):
     """Run a caller's statement.
 
     `call` numbers the question on its link. `left` is the time in seconds that the
@@ -51,7 +51,9 @@
     credential: Credential = NOBODY
 
 
-class Answer(Struct, frozen=True, kw_only=True, array_like=True, tag="answer"):
+class StatementResponse(
+    Struct, frozen=True, kw_only=True, array_like=True, tag="answer"
+):
     """The whole reply to one question.
 
     `role` tells whether the leader or a replica ran it. For `unfinished` seconds it may
@@ -95,27 +97,27 @@
     opens_for: float = 0.0
 
 
-class TakeUp(Struct, frozen=True, kw_only=True, array_like=True, tag="take up"):
+class ServeGroup(Struct, frozen=True, kw_only=True, array_like=True, tag="take up"):
     """Be ready to own a group: those that own it leave."""
 
     group: str
 
 
-class LeaderQuestion(Struct, frozen=True, kw_only=True, array_like=True, tag="leads?"):
+class LeaderRequest(Struct, frozen=True, kw_only=True, array_like=True, tag="leads?"):
     """When have you proven a group's primary?"""
 
     call: int
     group: str
 
 
-class LeaderAnswer(Struct, frozen=True, kw_only=True, array_like=True, tag="leads"):
+class LeaderResponse(Struct, frozen=True, kw_only=True, array_like=True, tag="leads"):
     """Seconds since the last proof of the primary; None if there is none."""
 
     call: int
     proof_age: float | None = None
 
 
-class LeaveQuestion(Struct, frozen=True, kw_only=True, array_like=True, tag="leave?"):
+class GrantRequest(Struct, frozen=True, kw_only=True, array_like=True, tag="leave?"):
     """May so many operations of a workspace begin?
 
     `cap` is the one that the asking daemon knows, `forwarded` says that it was itself
@@ -129,7 +131,7 @@
     forwarded: bool = False
 
 
-class LeaveAnswer(Struct, frozen=True, kw_only=True, array_like=True, tag="leave"):
+class GrantResponse(Struct, frozen=True, kw_only=True, array_like=True, tag="leave"):
     """So many may; the next one after `wait` seconds."""
 
     call: int
@@ -147,7 +149,7 @@
     """Pass on nothing any more."""
 
 
-class News(Struct, frozen=True, kw_only=True, array_like=True, tag="news"):
+class FeedUpdate(Struct, frozen=True, kw_only=True, array_like=True, tag="news"):
     """What is new in a feed up to a revision: objects by name, and those removed.
 
     All changes after `since` are in it. If it is `whole` there are no other objects.
@@ -168,7 +170,7 @@
     revision: int
 
 
-class Current(Struct, frozen=True, kw_only=True, array_like=True, tag="current"):
+class Heartbeat(Struct, frozen=True, kw_only=True, array_like=True, tag="current"):
     """Feeds for which the sender is in touch with the store.
 
     One that does not watch the store is of no use to who follows it.
@@ -178,13 +180,13 @@
     watches: bool = True
 
 
-class Fetch(Struct, frozen=True, kw_only=True, array_like=True, tag="fetch"):
+class FetchList(Struct, frozen=True, kw_only=True, array_like=True, tag="fetch"):
     """Send a feed's whole list, however large."""
 
     feed: str
 
 
-class Piece(Struct, frozen=True, kw_only=True, array_like=True, tag="piece"):
+class ListPiece(Struct, frozen=True, kw_only=True, array_like=True, tag="piece"):
     """One of `total` pieces of a packed list; `number` counts from 0."""
 
     feed: str
@@ -195,22 +197,22 @@
 
 
 Message = (
-    Ask
-    | Answer
+    StatementRequest
+    | StatementResponse
     | ReadEnded
     | EndTransaction
     | Leaving
-    | TakeUp
-    | LeaderQuestion
-    | LeaderAnswer
-    | LeaveQuestion
-    | LeaveAnswer
+    | ServeGroup
+    | LeaderRequest
+    | LeaderResponse
+    | GrantRequest
+    | GrantResponse
     | Follow
     | Unfollow
-    | News
-    | Current
-    | Fetch
-    | Piece
+    | FeedUpdate
+    | Heartbeat
+    | FetchList
+    | ListPiece
 )
 
 
--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -12,15 +12,15 @@
 from gypsum_policy.ownership import OwnerView, owners_to_ask
 from gypsum_policy.pace import Pace
 from gypsum_sessions.daemons.peermessages import (
-    Answer,
-    Current,
-    LeaderAnswer,
-    LeaveAnswer,
+    FeedUpdate,
+    GrantResponse,
+    Heartbeat,
+    LeaderResponse,
     Leaving,
+    ListPiece,
     MessageError,
-    News,
-    Piece,
     ReadEnded,
+    StatementResponse,
     decode,
     encode,
 )
@@ -116,8 +116,8 @@
         if isinstance(message, Leaving):
             self.leaving = True
             self.opens_until = self.clock() + message.opens_for
-        elif isinstance(message, Answer | LeaderAnswer | LeaveAnswer):
-            if isinstance(message, Answer) and message.unfinished:
+        elif isinstance(message, StatementResponse | LeaderResponse | GrantResponse):
+            if isinstance(message, StatementResponse) and message.unfinished:
                 self.unfinished[message.call] = asyncio.Event()
             fut = self.waiting.pop(message.call, None)
             if fut is not None and not fut.done():
@@ -125,11 +125,11 @@
         elif isinstance(message, ReadEnded):
             if message.call in self.unfinished:
                 self.unfinished.pop(message.call).set()
-        elif isinstance(message, News) and self.following is not None:
+        elif isinstance(message, FeedUpdate) and self.following is not None:
             self.following.news(message)
-        elif isinstance(message, Current) and self.following is not None:
+        elif isinstance(message, Heartbeat) and self.following is not None:
             self.following.beat(message)
-        elif isinstance(message, Piece) and self.following is not None:
+        elif isinstance(message, ListPiece) and self.following is not None:
             self.following.piece(message)
 
     def lost(self, why):
--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -9,7 +9,13 @@
 from gypsum_policy.relays import BEAT_EVERY, MOST_BYTES, PIECE_BYTES, PIECE_PAUSE
 from gypsum_policy.revisions import same_era
 from gypsum_sessions.daemons.packing import pack
-from gypsum_sessions.daemons.peermessages import Current, FeedState, News, Piece, encode
+from gypsum_sessions.daemons.peermessages import (
+    FeedState,
+    FeedUpdate,
+    Heartbeat,
+    ListPiece,
+    encode,
+)
 
 
 @dataclass(slots=True, kw_only=True)
@@ -24,7 +30,7 @@
     revision: int = 0
     since: int = 0
     touched_at: float = float("-inf")
-    pieces: list[Piece] = field(default_factory=list)
+    pieces: list[ListPiece] = field(default_factory=list)
 
 
 class Relay:
@@ -88,7 +94,9 @@
         if same:
             return
         self.changed(feed)
-        self.pass_on(News(feed=name, revision=revision, whole=True, changed=objects))
+        self.pass_on(
+            FeedUpdate(feed=name, revision=revision, whole=True, changed=objects)
+        )
 
     def take_changes(self, name, changed, removed, revision):
         """Changes came: objects by name, and names of those removed."""
@@ -102,7 +110,7 @@
             return
         self.changed(feed)
         self.pass_on(
-            News(
+            FeedUpdate(
                 feed=name,
                 since=before,
                 revision=revision,
@@ -143,7 +151,7 @@
             feed = self.feeds.get(name)
             if feed is None or revision >= feed.since:
                 continue
-            whole = News(
+            whole = FeedUpdate(
                 feed=name, revision=feed.revision, whole=True, changed=feed.objects
             )
             data = encode(whole)
@@ -157,7 +165,7 @@
 
     def current(self):
         """Feeds that are in touch with the store, and how far they are known."""
-        return Current(
+        return Heartbeat(
             feeds={
                 name: FeedState(since=feed.since, revision=feed.revision)
                 for name, feed in self.feeds.items()
@@ -201,7 +209,7 @@
         if not feed.pieces:
             parts = pack(feed.objects)
             feed.pieces = [
-                Piece(
+                ListPiece(
                     feed=name,
                     revision=feed.revision,
                     number=number,
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -12,7 +12,11 @@
 
 from gypsum_policy.ownership import is_last_resort
 from gypsum_sessions.catalog import Route
-from gypsum_sessions.daemons.peermessages import Answer, Ask, EndTransaction
+from gypsum_sessions.daemons.peermessages import (
+    EndTransaction,
+    StatementRequest,
+    StatementResponse,
+)
 from gypsum_sessions.daemons.peers import PeerLost
 from gypsum_sessions.daemons.standins import STAND_INS
 from gypsum_sessions.execution.transactions import aborted
@@ -127,7 +131,7 @@
         job.owner = link.peer
         left = job.left(self.around.clock)
         return await link.ask_timed(
-            lambda call: Ask(
+            lambda call: StatementRequest(
                 call=call,
                 request=job.request,
                 statement=job.statement,
@@ -269,7 +273,7 @@
         self.over = True
 
 
-def take(job, answer: Answer):
+def take(job, answer: StatementResponse):
     """Note on a job what its answer tells; returns the reply."""
     job.tried.extend(answer.tried)
     job.served_by = answer.served_by
--- a/packages/sessions/gypsum_sessions/daemons/requesthandler.py
+++ b/packages/sessions/gypsum_sessions/daemons/requesthandler.py
@@ -11,18 +11,18 @@
 
 from gypsum_policy.ownership import LOST_FOR
 from gypsum_sessions.daemons.peermessages import (
-    Answer,
-    Ask,
     EndTransaction,
-    Fetch,
+    FetchList,
     Follow,
-    LeaderAnswer,
-    LeaderQuestion,
-    LeaveQuestion,
+    GrantRequest,
+    LeaderRequest,
+    LeaderResponse,
     Leaving,
     MessageError,
     ReadEnded,
-    TakeUp,
+    ServeGroup,
+    StatementRequest,
+    StatementResponse,
     Unfollow,
     decode,
     encode,
@@ -89,21 +89,21 @@
             self.frames.close()
             self.lost(str(exc))
             return
-        if isinstance(message, Ask):
+        if isinstance(message, StatementRequest):
             self.take(message)
         elif isinstance(message, EndTransaction):
             self.spawn(self.end(message.transaction))
-        elif isinstance(message, LeaderQuestion):
+        elif isinstance(message, LeaderRequest):
             self.tell_leader(message)
-        elif isinstance(message, LeaveQuestion):
+        elif isinstance(message, GrantRequest):
             self.proxy.spawn(self.tell_leave(message))
         elif isinstance(message, Follow):
             self.proxy.relay.follow(self, message.revisions)
         elif isinstance(message, Unfollow):
             self.proxy.relay.unfollow(self)
-        elif isinstance(message, Fetch):
+        elif isinstance(message, FetchList):
             self.proxy.spawn(self.proxy.relay.send_whole(self, message.feed))
-        elif isinstance(message, TakeUp):
+        elif isinstance(message, ServeGroup):
             self.proxy.hosting.serve(message.group)
 
     def lost(self, why):
@@ -124,7 +124,9 @@
         if self.closed:
             return
         if len(self.tasks) >= MOST_ASKS:
-            self.answer(Answer(call=ask.call, reply=refused("too many at once")))
+            self.answer(
+                StatementResponse(call=ask.call, reply=refused("too many at once"))
+            )
             return
         task = self.spawn(self.serve(ask))
         if not ask.transaction and not ask.statement.writes:
@@ -144,11 +146,13 @@
         group = self.proxy.hosting.serve(ask.route.group)
         unable = self.why_unable(ask, group)
         if unable:
-            self.answer(Answer(call=ask.call, reply=refused(unable), unable=True))
+            self.answer(
+                StatementResponse(call=ask.call, reply=refused(unable), unable=True)
+            )
             return
         if not self.proxy.catalog.stands(ask.credential):
             reply = await self.refuse_withdrawn(ask)
-            self.answer(Answer(call=ask.call, reply=reply))
+            self.answer(StatementResponse(call=ask.call, reply=reply))
             return
         job = job_of(ask, self.proxy)
         if ask.transaction:
@@ -158,7 +162,7 @@
         else:
             reply = await run_read(group, job)
         self.answer(
-            Answer(
+            StatementResponse(
                 call=ask.call,
                 reply=reply,
                 tried=tuple(job.tried),
@@ -275,7 +279,7 @@
         """Answer when we have last proven a group's primary."""
         group = self.proxy.groups.get(question.group)
         age = group.watch.proof_age() if group is not None else None
-        self.answer(LeaderAnswer(call=question.call, proof_age=age))
+        self.answer(LeaderResponse(call=question.call, proof_age=age))
 
     async def tell_leave(self, question):
         """Answer whether operations of a workspace may begin."""
--- a/packages/sessions/gypsum_sessions/daemons/standins.py
+++ b/packages/sessions/gypsum_sessions/daemons/standins.py
@@ -1,7 +1,7 @@
 """Makes those that come next ready when all owners of a group leave at once."""
 
 from gypsum_policy.leaving import stand_in
-from gypsum_sessions.daemons.peermessages import TakeUp
+from gypsum_sessions.daemons.peermessages import ServeGroup
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "drain"
@@ -63,5 +63,5 @@
             self.proxy.log(PART, "stand-in not reached", peer=name, error=str(exc))
             self.told.discard(group)
             return
-        link.tell(TakeUp(group=group))
+        link.tell(ServeGroup(group=group))
         self.proxy.log(PART, "stand-in woken", peer=name, group=group)
--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -17,7 +17,7 @@
     stand_in_cap,
 )
 from gypsum_sessions.daemons.homes import ANSWER_TIME, FORWARD_TIME, PART, Homes
-from gypsum_sessions.daemons.peermessages import LeaveAnswer, LeaveQuestion
+from gypsum_sessions.daemons.peermessages import GrantRequest, GrantResponse
 
 # A stand-in that was not asked for this long starts anew, seconds: the home has counted
 # meanwhile.
@@ -109,7 +109,9 @@
             # Should asking fail in a way that nobody thought of, nobody waits for ever.
             del self.asking[workspace]
             left = waiting + self.waiting.pop(workspace, [])
-            self.tell(workspace, left, LeaveAnswer(call=0, granted=0, wait=REFUSED_FOR))
+            self.tell(
+                workspace, left, GrantResponse(call=0, granted=0, wait=REFUSED_FOR)
+            )
 
     def tell(self, workspace, waiting, answer):
         """Let those run that have leave, and refuse the others."""
@@ -149,7 +151,7 @@
         """
         cap = self.newer(workspace, cap)
         if cap is None:
-            return LeaveAnswer(call=0, granted=wanted)
+            return GrantResponse(call=0, granted=wanted)
         patience = FORWARD_TIME if forwarded else ANSWER_TIME
         homes = self.homes.of(workspace)
         for place, name in enumerate(homes):
@@ -159,7 +161,7 @@
                 return self.count(workspace, wanted, cap, place)
             answer = await self.homes.ask(
                 name,
-                lambda call: LeaveQuestion(
+                lambda call: GrantRequest(
                     call=call,
                     workspace=workspace,
                     wanted=wanted,
@@ -182,7 +184,7 @@
         """
         self.homes.heard(self.clock())
         if not question.wanted:
-            return LeaveAnswer(call=0, granted=0)
+            return GrantResponse(call=0, granted=0)
         workspace, wanted = question.workspace, question.wanted
         if question.forwarded:
             cap = self.newer(workspace, question.cap)
@@ -223,4 +225,4 @@
     """What a bucket grants by a cap, as an answer."""
     bucket.change(cap, now)
     granted = bucket.take(wanted, now)
-    return LeaveAnswer(call=0, granted=granted, wait=bucket.wait())
+    return GrantResponse(call=0, granted=granted, wait=bucket.wait())
--- a/packages/sessions/gypsum_sessions/takeover/reach.py
+++ b/packages/sessions/gypsum_sessions/takeover/reach.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gypsum_policy.suspicion import ASK_EVERY, usable_helpers, vouches
-from gypsum_sessions.daemons.peermessages import LeaderQuestion
+from gypsum_sessions.daemons.peermessages import LeaderRequest
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "reach"
@@ -59,7 +59,7 @@
         try:
             link = await self.peers.link(name, ANSWER_TIME)
             answer = await link.ask(
-                lambda call: LeaderQuestion(call=call, group=self.group.name),
+                lambda call: LeaderRequest(call=call, group=self.group.name),
                 timeout=ANSWER_TIME,
             )
         except PeerLost:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -21,7 +21,7 @@
 )
 from gypsum_platform.takers import ConfigTaker, OwnTaker, UpstreamTaker
 from gypsum_sessions.borders import LeaseError, PromoteOutcome
-from gypsum_sessions.daemons.peermessages import News
+from gypsum_sessions.daemons.peermessages import FeedUpdate
 from gypsum_sessions.daemons.relay import Relay
 from gypsum_sessions.takeover.leaseboard import LeaseBoard
 from gypsum_sessions.upstreams.recorder import MemberRecorder
@@ -578,7 +578,7 @@
             name: {"name": name, "revision": revision, "spec": {}, "created": 1}
             for name in names
         }
-        return News(
+        return FeedUpdate(
             feed="k",
             revision=revision,
             changed=changed,
--- a/tests/sessions/test_peer_messages.py
+++ b/tests/sessions/test_peer_messages.py
@@ -5,35 +5,40 @@
 
 from gypsum_core.records import Position
 from gypsum_sessions.daemons import peermessages
-from gypsum_sessions.daemons.peermessages import Answer, decode, encode
+from gypsum_sessions.daemons.peermessages import StatementResponse, decode, encode
 from gypsum_sessions.replies import Reply
 
 # The fields of each message in their order. A field may only come behind these.
 PLACES = {
-    "Ask": (
+    "StatementRequest": (
         "call request statement route left values prepared own_floor transaction "
         "first opens_writing values_set if_led last_resort hears_ends credential"
     ),
-    "Answer": (
+    "StatementResponse": (
         "call reply tried served_by role floor floor_age unable unfinished queue"
     ),
     "ReadEnded": "call",
     "EndTransaction": "transaction",
     "Leaving": "opens_for",
-    "TakeUp": "group",
-    "LeaderQuestion": "call group",
-    "LeaderAnswer": "call proof_age",
-    "LeaveQuestion": "call workspace wanted cap forwarded",
-    "LeaveAnswer": "call granted wait",
+    "ServeGroup": "group",
+    "LeaderRequest": "call group",
+    "LeaderResponse": "call proof_age",
+    "GrantRequest": "call workspace wanted cap forwarded",
+    "GrantResponse": "call granted wait",
     "Follow": "revisions",
     "Unfollow": "",
-    "News": "feed revision changed since removed whole",
-    "Current": "feeds watches",
-    "Fetch": "feed",
-    "Piece": "feed revision number total data",
+    "FeedUpdate": "feed revision changed since removed whole",
+    "Heartbeat": "feeds watches",
+    "FetchList": "feed",
+    "ListPiece": "feed revision number total data",
 }
 # How many of them daemons of the first version send.
-FIRST_VERSION = {"Ask": 13, "Answer": 8, "Leaving": 0, "Current": 1}
+FIRST_VERSION = {
+    "StatementRequest": 13,
+    "StatementResponse": 8,
+    "Leaving": 0,
+    "Heartbeat": 1,
+}
 
 
 @pytest.mark.parametrize("name", PLACES)
@@ -57,8 +62,10 @@
 
 
 def test_messages_of_another_version_are_understood():
-    answer = Answer(call=7, reply=Reply(), floor=Position(term=1, index=2), unable=True)
+    answer = StatementResponse(
+        call=7, reply=Reply(), floor=Position(term=1, index=2), unable=True
+    )
     items = cbor2.loads(encode(answer))
-    older = items[: 1 + FIRST_VERSION["Answer"]]
+    older = items[: 1 + FIRST_VERSION["StatementResponse"]]
     assert decode(cbor2.dumps(older)) == answer
     assert decode(cbor2.dumps([*items, "of a later version"])) == answer
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from gypsum_sessions.daemons.peermessages import Ask, MessageError, decode, encode
+from gypsum_sessions.daemons.peermessages import (
+    MessageError,
+    StatementRequest,
+    decode,
+    encode,
+)
 from gypsum_sessions.replies import Refusal, SessionState
 from gypsum_sessions.statements import Statement, StatementKind
 from tests.sessions.owners import (
@@ -276,7 +281,7 @@
         rig_route = rig.proxy.catalog.route("own")
 
     run(main())
-    ask = Ask(
+    ask = StatementRequest(
         call=7,
         request="r",
         statement=statement,
--- a/tests/sessions/test_usage.py
+++ b/tests/sessions/test_usage.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gypsum_policy.usage import WINDOW, Cap
-from gypsum_sessions.daemons.peermessages import LeaveAnswer
+from gypsum_sessions.daemons.peermessages import GrantResponse
 from gypsum_sessions.daemons.usage import Usage
 from gypsum_sessions.replies import Refusal
 from tests.sessions.rig import Rig
@@ -365,7 +365,7 @@
     """The check of windows finds a home that grants whatever is asked."""
 
     def grant_all(self, workspace, wanted, cap, place):
-        return LeaveAnswer(call=0, granted=wanted)
+        return GrantResponse(call=0, granted=wanted)
 
     monkeypatch.setattr(Usage, "count", grant_all)
 
