--- a/packages/sessions/gypsum_sessions/daemons/feedfollower.py
+++ b/packages/sessions/gypsum_sessions/daemons/feedfollower.py
@@ -85,7 +85,7 @@
         self.asked_at = float("-inf")
 
 
-class Following:
+class FeedFollower:
     """Follows one watcher at a time, a near one that is in touch if there is one."""
 
     def __init__(self, *, daemons, peers, clock, log):
--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -85,7 +85,7 @@
         """Open a link; raises OSError if that fails."""
 
 
-class OwnerLink:
+class PeerLink:
     """This daemon's questions to one other."""
 
     def __init__(self, *, peer, clock):
@@ -249,7 +249,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Avoidance:
+class DialBackoff:
     """A daemon that could not be reached: until when and how long it is left alone."""
 
     until: float
@@ -356,7 +356,7 @@
     async def dial(self, name):
         """Open a link; raises PeerLost."""
         entry = self.daemons.get(name)
-        link = OwnerLink(peer=name, clock=self.clock)
+        link = PeerLink(peer=name, clock=self.clock)
         if entry is None or not entry.link:
             raise PeerLost("no address", step="dial", peer=name, sent=False)
         try:
@@ -380,9 +380,9 @@
         now, found = self.clock(), self.avoidance.get(name)
         if found is None:
             self.log(PART, "daemon not reached", peer=name)
-            found = Avoidance(until=now, pause=AVOID_FIRST / 2, since=now)
+            found = DialBackoff(until=now, pause=AVOID_FIRST / 2, since=now)
         pause = min(2 * found.pause, AVOID_MOST)
-        self.avoidance[name] = Avoidance(
+        self.avoidance[name] = DialBackoff(
             until=now + pause, pause=pause, since=found.since
         )
 
--- a/packages/sessions/gypsum_sessions/daemons/registry.py
+++ b/packages/sessions/gypsum_sessions/daemons/registry.py
@@ -23,7 +23,7 @@
     revision: int = 0
 
 
-class Daemons:
+class DaemonRegistry:
     """All known daemons, this one included, in one order for each group.
 
     Up to `all_watch_up_to` of them all watch the store.
--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class KnownFeed:
+class RelayedFeed:
     """What a watcher knows of a feed: its objects by name, and how far.
 
     It is known up to `revision`, and has not changed since `since`. `touched_at` is
@@ -85,7 +85,7 @@
 
     def take_all(self, name, objects, revision):
         """A whole list came: objects by name."""
-        feed = self.feeds.setdefault(name, KnownFeed())
+        feed = self.feeds.setdefault(name, RelayedFeed())
         # Followers may know changes of the earlier era that this list lacks.
         same_history = feed.revision and same_era(feed.revision, revision)
         same = same_history and feed.objects == objects
--- a/packages/sessions/gypsum_sessions/daemons/requesthandler.py
+++ b/packages/sessions/gypsum_sessions/daemons/requesthandler.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Held:
+class HeldTransaction:
     """A transaction of another daemon's caller; one statement of it runs at a time.
 
     `request` is the id of the last one.
@@ -51,7 +51,7 @@
     ended: bool = False
 
 
-class OwnerDesk:
+class PeerRequestHandler:
     """One other daemon's statements, over one link."""
 
     def __init__(self, *, proxy, peer):
@@ -244,7 +244,7 @@
                 writes=ask.opens_writing,
                 arrived=job.arrived,
             )
-            held = self.held[ask.transaction] = Held(transaction=transaction)
+            held = self.held[ask.transaction] = HeldTransaction(transaction=transaction)
         async with held.lock:
             if held.ended or self.closed:
                 return aborted("the transaction was ended")
--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -29,14 +29,14 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Tally:
+class OutcomeCounts:
     """What became of a workspace's operations at this daemon."""
 
     granted: int = 0
     refused: int = 0
 
 
-class Usage:
+class UsageLimiter:
     """Asks leave for callers of this daemon, and grants it where this one counts."""
 
     def __init__(self, *, daemons, peers, catalog, clock, log):
@@ -126,7 +126,7 @@
 
     def count_outcome(self, workspace, wait):
         """Keep count, and log the first refusal and the first leave after one."""
-        tally = self.tallies.setdefault(workspace, Tally())
+        tally = self.tallies.setdefault(workspace, OutcomeCounts())
         if not wait:
             tally.granted += 1
             if self.refused_until.pop(workspace, None) is not None:
--- a/packages/sessions/gypsum_sessions/measures.py
+++ b/packages/sessions/gypsum_sessions/measures.py
@@ -4,7 +4,7 @@
 from aioprometheus.renderer import render
 
 from gypsum_policy.revisions import era_of, number_of
-from gypsum_sessions.daemons.usage import Tally
+from gypsum_sessions.daemons.usage import OutcomeCounts
 
 # Workspaces with series of their own; all further ones share one. What goes wrong
 # without a bound: a scrape of thousands of histograms holds up the statements.
@@ -132,7 +132,7 @@
         totals = {}
         for workspace, tally in usage.tallies.items():
             name = workspace if workspace in self.named else OTHERS
-            total = totals.setdefault(name, Tally())
+            total = totals.setdefault(name, OutcomeCounts())
             total.granted += tally.granted
             total.refused += tally.refused
         for name, total in totals.items():
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -8,12 +8,12 @@
 from gypsum_sessions.callers.requestlog import RequestLog
 from gypsum_sessions.callers.session import Session
 from gypsum_sessions.catalog import Catalog
-from gypsum_sessions.daemons.feedfollower import Following
+from gypsum_sessions.daemons.feedfollower import FeedFollower
 from gypsum_sessions.daemons.peers import Peers
-from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
+from gypsum_sessions.daemons.registry import DaemonEntry, DaemonRegistry
 from gypsum_sessions.daemons.relay import Relay
-from gypsum_sessions.daemons.requesthandler import OwnerDesk
-from gypsum_sessions.daemons.usage import Usage
+from gypsum_sessions.daemons.requesthandler import PeerRequestHandler
+from gypsum_sessions.daemons.usage import UsageLimiter
 from gypsum_sessions.daemons.warmlinks import WarmLinks
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
 from gypsum_sessions.takeover.leaseboard import LeaseBoard
@@ -87,7 +87,7 @@
         # Seconds since the configuration was known to be the newest.
         self.catalog_age = lambda: 0.0
         own = DaemonEntry(id=name, domain=domain, link=link_address)
-        self.daemons = Daemons(own=own, all_watch_up_to=all_watch_up_to)
+        self.daemons = DaemonRegistry(own=own, all_watch_up_to=all_watch_up_to)
         self.roster = Roster(
             clock=clock, missing_looks=round(tuning.missing_grace / TEND_EVERY)
         )
@@ -111,11 +111,11 @@
             in_touch_for=tuning.in_touch_for,
             watches=self.daemons.watches,
         )
-        self.following = Following(
+        self.following = FeedFollower(
             daemons=self.daemons, peers=self.peers, clock=clock, log=log
         )
         self.requests = RequestLog(proxy=self)
-        self.usage = Usage(
+        self.usage = UsageLimiter(
             daemons=self.daemons,
             peers=self.peers,
             catalog=self.catalog,
@@ -332,7 +332,7 @@
 
     def open_desk(self, peer):
         """Another daemon opened a link: who works on its statements."""
-        desk = OwnerDesk(proxy=self, peer=peer)
+        desk = PeerRequestHandler(proxy=self, peer=peer)
         self.desks.add(desk)
         return desk
 
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -7,7 +7,7 @@
 from gypsum_policy.routing import Candidate
 from gypsum_sessions.borders import Clock, Dialer, EventLog
 from gypsum_sessions.catalog import Catalog
-from gypsum_sessions.daemons.registry import Daemons
+from gypsum_sessions.daemons.registry import DaemonRegistry
 from gypsum_sessions.execution.jobs import ServedBy
 from gypsum_sessions.execution.turns import Turns
 from gypsum_sessions.takeover.floors import Floors
@@ -34,7 +34,7 @@
     tuning: SessionTuning
     log: EventLog
     domain: str
-    daemons: Daemons
+    daemons: DaemonRegistry
     board: LeaseBoard
     drain_seconds: float
     started_at: float
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -8,7 +8,7 @@
 from gypsum_policy.leaving import plan_for
 from gypsum_sessions.callers.drain import drain
 from gypsum_sessions.daemons import feedfollower
-from gypsum_sessions.daemons.feedfollower import Following
+from gypsum_sessions.daemons.feedfollower import FeedFollower
 from gypsum_sessions.daemons.relay import Relay
 from tests.sessions.feedrig import SLOW_LINK, FeedRig, large_config
 from tests.sessions.vclock import run
@@ -312,9 +312,9 @@
 BREAKS = {
     "everybody is current": (feedfollower, "is_current", always),
     "gaps are overlooked": (feedfollower, "continues", always),
-    "nobody asks for whole lists": (Following, "fetch", never),
-    "who has nothing to tell is followed on": (Following, "useless", never),
-    "watchers follow nobody": (Following, "store_lost", never),
+    "nobody asks for whole lists": (FeedFollower, "fetch", never),
+    "who has nothing to tell is followed on": (FeedFollower, "useless", never),
+    "watchers follow nobody": (FeedFollower, "store_lost", never),
     "old lists are passed on": (Relay, "forget", never),
     "changes pass unnoticed": (Relay, "changed", never),
 }
--- a/tests/sessions/test_fleet_store_return.py
+++ b/tests/sessions/test_fleet_store_return.py
@@ -7,7 +7,7 @@
 from gypsum_platform.leases import OWN_KIND
 from gypsum_platform.takers import DAEMON_PREFIX, LINK_KEY
 from gypsum_policy.membership import REWRITES_PER_S, missing_for, rewrite_pause
-from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
+from gypsum_sessions.daemons.registry import DaemonEntry, DaemonRegistry
 from tests.sessions.fleetrig import FleetRig
 from tests.sessions.vclock import run
 
@@ -70,7 +70,7 @@
 
 
 def test_who_stays_off_the_list_is_dropped_after_its_looks():
-    daemons = Daemons(own=DaemonEntry(id="d1", domain="a"))
+    daemons = DaemonRegistry(own=DaemonEntry(id="d1", domain="a"))
     daemons.take_all(entries("d1", "d2", "d3"))
     daemons.take_all(entries("d1"))
     assert set(daemons.known) == {"d1", "d2", "d3"}
--- a/tests/sessions/test_registry.py
+++ b/tests/sessions/test_registry.py
@@ -2,7 +2,7 @@
 
 from gypsum_core.placement import Placement
 from gypsum_sessions.catalog import GroupSpec
-from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
+from gypsum_sessions.daemons.registry import DaemonEntry, DaemonRegistry
 
 SPEC = GroupSpec(name="db", max_connections=34, sync_replicas=1)
 FLEET = 300
@@ -21,7 +21,7 @@
         "update",
         lambda self, daemons: updates.append(1) or update(self, daemons),
     )
-    daemons = Daemons(own=DaemonEntry(id="d0", domain="a"))
+    daemons = DaemonRegistry(own=DaemonEntry(id="d0", domain="a"))
     for number in range(1, FLEET):
         daemons.add(DaemonEntry(id=f"d{number}", domain="abc"[number % 3]))
     assert len(daemons.owners(SPEC)) == daemons.owner_count(SPEC)
@@ -29,7 +29,7 @@
 
 
 def test_every_change_is_seen_by_the_next_question():
-    daemons = Daemons(own=DaemonEntry(id="d0", domain="a"))
+    daemons = DaemonRegistry(own=DaemonEntry(id="d0", domain="a"))
     assert daemons.owners(SPEC) == ["d0"]
     daemons.add(DaemonEntry(id="d1", domain="b"))
     assert set(daemons.owners(SPEC)) == {"d0", "d1"}
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -5,7 +5,7 @@
 
 from gypsum_core.records import Position
 from gypsum_policy.succession import choose_successor
-from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
+from gypsum_sessions.daemons.registry import DaemonEntry, DaemonRegistry
 from gypsum_sessions.replies import Refusal, UpstreamStatus
 from gypsum_sessions.takeover.replication import Paused
 from tests.sessions.fakegroup import PROMOTE_TIME
@@ -45,7 +45,7 @@
 
 def test_groups_are_spread_over_the_daemons():
     entries = [DaemonEntry(id=f"d{number}", domain="a") for number in range(9)]
-    daemons = Daemons(own=entries[0])
+    daemons = DaemonRegistry(own=entries[0])
     daemons.take_all(entries)
     first = {daemons.order(f"g{group}", 1)[0] for group in range(40)}
     assert len(first) >= 6
--- a/tests/sessions/test_usage.py
+++ b/tests/sessions/test_usage.py
@@ -7,7 +7,7 @@
 
 from gypsum_policy.usage import WINDOW, Cap
 from gypsum_sessions.daemons.peermessages import GrantResponse
-from gypsum_sessions.daemons.usage import Usage
+from gypsum_sessions.daemons.usage import UsageLimiter
 from gypsum_sessions.replies import Refusal
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
@@ -367,7 +367,7 @@
     def grant_all(self, workspace, wanted, cap, place):
         return GrantResponse(call=0, granted=wanted)
 
-    monkeypatch.setattr(Usage, "count", grant_all)
+    monkeypatch.setattr(UsageLimiter, "count", grant_all)
 
     async def main():
         rig = await capped_rig()
