--- a/packages/sessions/gypsum_sessions/daemons/feedfollower.py
+++ b/packages/sessions/gypsum_sessions/daemons/feedfollower.py
@@ -27,10 +27,10 @@
 
 PART = "relay"
 # Pause before another watcher is looked for, seconds.
-LOOK_EVERY = 0.2
+CHECK_INTERVAL = 0.2
 # A daemon that knows less than its watcher for this long says so, seconds: news of
 # small changes are taken in within milliseconds.
-BEHIND_TOLD = 1.0
+LOG_BEHIND_AFTER = 1.0
 
 
 @dataclass(slots=True, kw_only=True)
@@ -45,18 +45,18 @@
 
     known: int = 0
     state: FeedState | None = None
-    waiting: list[FeedUpdate] = field(default_factory=list)
+    pending: list[FeedUpdate] = field(default_factory=list)
     pieces: dict[int, bytes] = field(default_factory=dict)
-    pieces_of: int = 0
-    asked_at: float = float("-inf")
-    lost: bool = False
+    pieces_revision: int = 0
+    requested_at: float = float("-inf")
+    store_unreachable: bool = False
     behind_since: float | None = None
-    behind_told: bool = False
+    behind_logged: bool = False
     ahead_since: float | None = None
     ahead_logged: bool = False
 
     @property
-    def confirmed(self):
+    def confirmed_state(self):
         """The watcher's state, None if it is of an earlier era than what is known."""
         if self.state is None or era_of(self.state.revision) < era_of(self.known):
             return None
@@ -65,7 +65,7 @@
     @property
     def behind(self):
         """Tell whether the watcher has changes that this daemon lacks."""
-        state = self.confirmed
+        state = self.confirmed_state
         if state is None:
             return False
         if not same_era(self.known, state.revision):
@@ -77,12 +77,12 @@
         """Tell whether this daemon knows a later revision than the watcher."""
         return self.state is not None and self.known > self.state.revision
 
-    def forget_watcher(self):
+    def clear_watcher_state(self):
         """Nothing that a watcher has sent counts any more."""
         self.state = None
-        self.waiting.clear()
+        self.pending.clear()
         self.pieces.clear()
-        self.asked_at = float("-inf")
+        self.requested_at = float("-inf")
 
 
 class FeedFollower:
@@ -96,7 +96,7 @@
         self.link = None
         self.heard_at = float("-inf")
         self.chosen_at = float("-inf")
-        self.useless_until = {}
+        self.excluded_until = {}
         # Whether the one that is followed watches the store, by its own word.
         self.is_watcher = True
         self.feeds = {}
@@ -108,74 +108,76 @@
         """A feed as it stands."""
         return self.feeds.setdefault(name, WatchedFeed())
 
-    def knows(self, name, revision):
+    def set_known_revision(self, name, revision):
         """This daemon has taken a feed in up to a revision."""
         self.feed(name).known = revision
 
     def store_lost(self, name):
         """The store does not answer for a feed: a watcher has to."""
-        self.feed(name).lost = True
-        self.fetch(name)
+        self.feed(name).store_unreachable = True
+        self.request_list(name)
 
-    def store_back(self, name):
+    def store_recovered(self, name):
         """The store answers for a feed."""
-        self.feed(name).lost = False
+        self.feed(name).store_unreachable = False
 
-    def wanted(self):
+    def needs_watcher(self):
         """Tell whether this daemon needs a watcher."""
         return not self.daemons.watches() or any(
-            feed.lost for feed in self.feeds.values()
+            feed.store_unreachable for feed in self.feeds.values()
         )
 
     # What they ask
 
-    def current(self, name):
+    def is_up_to_date(self, name):
         """Tell whether this daemon has all that a watcher in touch knows of a feed."""
         if self.link is None or self.clock() - self.heard_at > SILENT_AFTER:
             return False
         feed = self.feed(name)
-        return feed.confirmed is not None and not feed.behind
+        return feed.confirmed_state is not None and not feed.behind
 
     def age(self, name):
         """Seconds since a watcher vouched for all that is known; None if none does."""
-        return self.clock() - self.heard_at if self.current(name) else None
+        return self.clock() - self.heard_at if self.is_up_to_date(name) else None
 
     def behind(self, name):
         """Tell whether the watcher has changes of a feed that this daemon lacks."""
         return self.feed(name).behind
 
-    def has_news(self, name):
+    def has_updates(self, name):
         """Tell whether there are news that can be taken in."""
-        self.drop_useless(name)
-        return bool(self.feed(name).waiting)
+        self.drop_stale_updates(name)
+        return bool(self.feed(name).pending)
 
-    async def arrives(self, name, seconds):
+    async def wait_for_list(self, name, seconds):
         """Wait for a list that was asked for; tell whether there are news.
 
         Ends early if the watcher is gone.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        while not self.has_news(name) and self.behind(name) and loop.time() < until:
+        while not self.has_updates(name) and self.behind(name) and loop.time() < until:
             event = self.changed
             try:
                 async with asyncio.timeout(until - loop.time()):
                     await event.wait()
             except TimeoutError:
                 break
-        return self.has_news(name)
+        return self.has_updates(name)
 
-    async def next(self, name, until=None):
+    async def next_update(self, name, until=None):
         """The next news of a feed; None once no watcher vouches for it any more.
 
         Also None from the loop's time `until` on, if it is given.
         """
         loop = asyncio.get_running_loop()
         while True:
-            news = self.take_next(name)
-            if news is not None:
-                return news
-            if not self.current(name) or (until is not None and loop.time() >= until):
+            update = self.pop_update(name)
+            if update is not None:
+                return update
+            if not self.is_up_to_date(name) or (
+                until is not None and loop.time() >= until
+            ):
                 return None
             left = SILENT_AFTER if until is None else until - loop.time()
             event = self.changed
@@ -185,76 +187,83 @@
             except TimeoutError:
                 continue
 
-    def take_next(self, name):
+    def pop_update(self, name):
         """News that follow on what is known, or that nothing has changed; or None."""
         feed = self.feed(name)
-        self.drop_useless(name)
-        if feed.waiting:
-            return feed.waiting.pop(0)
-        if self.current(name) and feed.state.revision > feed.known:
+        self.drop_stale_updates(name)
+        if feed.pending:
+            return feed.pending.pop(0)
+        if self.is_up_to_date(name) and feed.state.revision > feed.known:
             state = feed.state
             return FeedUpdate(
                 feed=name, since=state.since, revision=state.revision, changed={}
             )
         return None
 
-    def drop_useless(self, name):
+    def drop_stale_updates(self, name):
         """Drop news that are old, or that have a gap between them and what is known."""
         feed = self.feed(name)
-        while feed.waiting and not usable(feed.waiting[0], feed.known):
-            feed.waiting.pop(0)
+        while feed.pending and not is_applicable(feed.pending[0], feed.known):
+            feed.pending.pop(0)
 
-    def fetch(self, name):
+    def request_list(self, name):
         """Ask the watcher for a feed's whole list, unless it is on its way."""
         feed, now = self.feed(name), self.clock()
-        if self.link is None or not feed.behind or now - feed.asked_at < FETCH_AGAIN:
+        if (
+            self.link is None
+            or not feed.behind
+            or now - feed.requested_at < FETCH_AGAIN
+        ):
             return
-        feed.asked_at = now
+        feed.requested_at = now
         feed.pieces.clear()
         self.log(
-            PART, "whole list asked for", watcher=self.link.peer, **progress(name, feed)
+            PART,
+            "whole list asked for",
+            watcher=self.link.peer,
+            **progress_fields(name, feed),
         )
         self.link.tell(FetchList(feed=name))
 
     # From the link
 
-    def news(self, message):
+    def handle_update(self, message):
         """News of a feed came: it has changed, up to their revision."""
         self.heard_at = self.clock()
         feed = self.feed(message.feed)
-        feed.waiting.append(message)
+        feed.pending.append(message)
         feed.state = FeedState(since=message.revision, revision=message.revision)
-        self.tell()
+        self.notify_waiters()
 
-    def beat(self, message):
+    def handle_heartbeat(self, message):
         """The watcher says which feeds are in touch, and how far they are known."""
         self.heard_at = self.clock()
         self.is_watcher = message.watches
         for name, feed in self.feeds.items():
             feed.state = message.feeds.get(name)
-            if feed.lost:
-                self.fetch(name)
-        self.tell()
+            if feed.store_unreachable:
+                self.request_list(name)
+        self.notify_waiters()
 
-    def piece(self, message):
+    def handle_piece(self, message):
         """A piece of a whole list came; the last one completes it."""
         self.heard_at = self.clock()
         feed = self.feed(message.feed)
-        if feed.pieces_of != message.revision:
+        if feed.pieces_revision != message.revision:
             feed.pieces.clear()
-            feed.pieces_of = message.revision
+            feed.pieces_revision = message.revision
         feed.pieces[message.number] = message.data
         if len(feed.pieces) < message.total:
             return
         parts = [feed.pieces[number] for number in sorted(feed.pieces)]
         feed.pieces.clear()
-        feed.asked_at = float("-inf")
+        feed.requested_at = float("-inf")
         try:
             objects = unpack(parts)
         except PackingError as exc:
             self.log(PART, "unreadable list", feed=message.feed, error=str(exc))
             return
-        feed.waiting.append(
+        feed.pending.append(
             FeedUpdate(
                 feed=message.feed,
                 revision=message.revision,
@@ -262,9 +271,9 @@
                 changed=objects,
             )
         )
-        self.tell()
+        self.notify_waiters()
 
-    def tell(self):
+    def notify_waiters(self):
         """Wake who waits for news."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -274,23 +283,23 @@
     async def run(self):
         """Follow a watcher, another one when it is of no use, for ever."""
         while True:
-            await asyncio.sleep(LOOK_EVERY)
-            self.look_behind()
-            if not self.wanted():
-                self.leave()
-            elif self.link is None or self.silent():
-                self.leave()
-                await self.choose()
-            elif self.useless():
-                self.useless_until[self.link.peer] = self.clock() + USELESS_FOR
-                self.leave()
-                await self.choose()
-
-    def silent(self):
+            await asyncio.sleep(CHECK_INTERVAL)
+            self.log_behind()
+            if not self.needs_watcher():
+                self.unfollow()
+            elif self.link is None or self.watcher_is_silent():
+                self.unfollow()
+                await self.choose_watcher()
+            elif self.watcher_is_unusable():
+                self.excluded_until[self.link.peer] = self.clock() + USELESS_FOR
+                self.unfollow()
+                await self.choose_watcher()
+
+    def watcher_is_silent(self):
         """Tell whether the watcher is gone or has not been heard of."""
         return not self.link.usable or self.clock() - self.heard_at > SILENT_AFTER
 
-    def useless(self):
+    def watcher_is_unusable(self):
         """Tell whether the watcher is not in touch for a feed that is needed of it.
 
         What goes wrong without it: the store turns the watcher away as well, another
@@ -303,10 +312,14 @@
         if self.clock() - self.chosen_at < USELESS_AFTER:
             return False
         watches = self.daemons.watches()
-        needed = [feed for feed in self.feeds.values() if feed.lost or not watches]
-        return any(feed.confirmed is None for feed in needed)
-
-    def leave(self):
+        needed = [
+            feed
+            for feed in self.feeds.values()
+            if feed.store_unreachable or not watches
+        ]
+        return any(feed.confirmed_state is None for feed in needed)
+
+    def unfollow(self):
         """Follow nobody; what was passed on and not taken is forgotten."""
         if self.link is None:
             return
@@ -314,17 +327,17 @@
         self.link.tell(Unfollow())
         self.link = None
         for feed in self.feeds.values():
-            feed.forget_watcher()
-        self.tell()
+            feed.clear_watcher_state()
+        self.notify_waiters()
 
-    async def choose(self):
+    async def choose_watcher(self):
         """Follow the first watcher that can be reached and may be of use."""
         watchers, now = self.daemons.watchers(), self.clock()
         for name in self.peers.in_turn(watchers, len(watchers)):
-            if now < self.useless_until.get(name, now):
+            if now < self.excluded_until.get(name, now):
                 continue
             try:
-                link = await self.peers.link(name, LOOK_EVERY)
+                link = await self.peers.link(name, CHECK_INTERVAL)
                 await link.try_out()
             except PeerLost:
                 continue
@@ -341,7 +354,7 @@
 
     # What on-call sees
 
-    def look_behind(self):
+    def log_behind(self):
         """Say which feeds the watcher knows more of than this daemon has taken in.
 
         What goes wrong without it: a daemon serves by an old configuration, and nothing
@@ -349,22 +362,25 @@
         """
         now = self.clock()
         for name, feed in self.feeds.items():
-            self.look_ahead(name, feed)
+            self.log_ahead(name, feed)
             if not feed.behind:
                 feed.behind_since = None
-                if feed.behind_told:
-                    feed.behind_told = False
-                    self.log(PART, "caught up", **progress(name, feed))
+                if feed.behind_logged:
+                    feed.behind_logged = False
+                    self.log(PART, "caught up", **progress_fields(name, feed))
                 continue
             feed.behind_since = now if feed.behind_since is None else feed.behind_since
             seconds = now - feed.behind_since
-            if seconds >= BEHIND_TOLD and not feed.behind_told:
-                feed.behind_told = True
+            if seconds >= LOG_BEHIND_AFTER and not feed.behind_logged:
+                feed.behind_logged = True
                 self.log(
-                    PART, "behind", seconds=round(seconds, 2), **progress(name, feed)
+                    PART,
+                    "behind",
+                    seconds=round(seconds, 2),
+                    **progress_fields(name, feed),
                 )
 
-    def look_ahead(self, name, feed):
+    def log_ahead(self, name, feed):
         """Log a feed that is known up to a later revision than the watcher's."""
         now = self.clock()
         if not feed.ahead:
@@ -372,19 +388,19 @@
             feed.ahead_logged = False
             return
         feed.ahead_since = now if feed.ahead_since is None else feed.ahead_since
-        if now - feed.ahead_since >= BEHIND_TOLD and not feed.ahead_logged:
+        if now - feed.ahead_since >= LOG_BEHIND_AFTER and not feed.ahead_logged:
             feed.ahead_logged = True
-            self.log(PART, "ahead of watcher", **progress(name, feed))
+            self.log(PART, "ahead of watcher", **progress_fields(name, feed))
 
 
-def usable(news, known):
+def is_applicable(update, known):
     """Tell whether news can be taken in by who knows their feed up to a revision."""
-    if news.whole:
-        return news.revision > known
-    return continues(known, news.since, news.revision)
+    if update.whole:
+        return update.revision > known
+    return continues(known, update.since, update.revision)
 
 
-def progress(name, feed):
+def progress_fields(name, feed):
     """Log fields: how far a feed is known here and at the watcher."""
     return {
         "feed": name,
--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -126,11 +126,11 @@
             if message.call in self.unfinished:
                 self.unfinished.pop(message.call).set()
         elif isinstance(message, FeedUpdate) and self.following is not None:
-            self.following.news(message)
+            self.following.handle_update(message)
         elif isinstance(message, Heartbeat) and self.following is not None:
-            self.following.beat(message)
+            self.following.handle_heartbeat(message)
         elif isinstance(message, ListPiece) and self.following is not None:
-            self.following.piece(message)
+            self.following.handle_piece(message)
 
     def lost(self, why):
         """The link is gone, and all that waits with it."""
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -541,15 +541,15 @@
         """This daemon is no watcher."""
         return False
 
-    def wanted(self):
+    def needs_watcher(self):
         """It needs one."""
         return True
 
-    def has_news(self, kind):
+    def has_updates(self, kind):
         """Tell whether there are news."""
         return bool(self.waiting)
 
-    def current(self, kind):
+    def is_up_to_date(self, kind):
         """Tell whether a watcher vouches."""
         return bool(self.waiting)
 
@@ -557,18 +557,18 @@
         """Tell whether the watcher knows more."""
         return False
 
-    async def next(self, kind, until):
+    async def next_update(self, kind, until):
         """The next news."""
         return self.waiting.pop(0) if self.waiting else None
 
-    def knows(self, kind, revision):
+    def set_known_revision(self, kind, revision):
         """What is known now."""
         self.known.append(revision)
 
     def store_lost(self, kind):
         """The store does not answer."""
 
-    def store_back(self, kind):
+    def store_recovered(self, kind):
         """The store answers."""
 
 
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -312,8 +312,12 @@
 BREAKS = {
     "everybody is current": (feedfollower, "is_current", always),
     "gaps are overlooked": (feedfollower, "continues", always),
-    "nobody asks for whole lists": (FeedFollower, "fetch", never),
-    "who has nothing to tell is followed on": (FeedFollower, "useless", never),
+    "nobody asks for whole lists": (FeedFollower, "request_list", never),
+    "who has nothing to tell is followed on": (
+        FeedFollower,
+        "watcher_is_unusable",
+        never,
+    ),
     "watchers follow nobody": (FeedFollower, "store_lost", never),
     "old lists are passed on": (Relay, "forget", never),
     "changes pass unnoticed": (Relay, "changed", never),
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -31,7 +31,7 @@
         proxy.keep_running(proxy.relay.run)
         proxy.relay.take_all(FEED, {"a": {"x": 1}}, 10)
         proxy.keep_running(touch(proxy))
-    follower.following.knows(FEED, 10)
+    follower.following.set_known_revision(FEED, 10)
     follower.keep_running(follower.following.run)
     await asyncio.sleep(1.0)
     return rig, follower, watchers
@@ -70,9 +70,9 @@
         watcher = followed(rig, follower)
         watcher.relay.take_changes(FEED, {"b": {"x": 2}}, [], 11)
         watcher.relay.take_changes(FEED, {}, ["a"], 12)
-        first = await follower.following.next(FEED)
-        follower.following.knows(FEED, first.revision)
-        second = await follower.following.next(FEED)
+        first = await follower.following.next_update(FEED)
+        follower.following.set_known_revision(FEED, first.revision)
+        second = await follower.following.next_update(FEED)
         assert (first.changed, first.revision) == ({"b": {"x": 2}}, 11)
         assert (second.removed, second.revision) == (("a",), 12)
 
@@ -89,10 +89,10 @@
         )
         for proxy in watchers:
             proxy.relay.take_changes(FEED, {"b": {"x": 2}}, [], 11)
-        late.following.knows(FEED, 10)
+        late.following.set_known_revision(FEED, 10)
         late.keep_running(late.following.run)
         await asyncio.sleep(1.0)
-        news = await late.following.next(FEED)
+        news = await late.following.next_update(FEED)
         assert news.whole and set(news.changed) == {"a", "b"}
 
     run(main())
@@ -110,9 +110,9 @@
         first = followed(rig, follower)
         rig.links.freeze(first.name)
         await asyncio.sleep(SILENT_AFTER + 0.1)
-        assert not follower.following.current(FEED)
+        assert not follower.following.is_up_to_date(FEED)
         await asyncio.sleep(1.5)
-        assert follower.following.current(FEED)
+        assert follower.following.is_up_to_date(FEED)
         assert followed(rig, follower) is not first
 
     run(main())
@@ -131,7 +131,7 @@
         first.relay.touched = lambda name: None
         await asyncio.sleep(first.tuning.in_touch_for + 1.5)
         assert followed(rig, follower) is not first
-        assert follower.following.current(FEED)
+        assert follower.following.is_up_to_date(FEED)
 
     run(main())
 
@@ -142,7 +142,7 @@
         for proxy in watchers:
             proxy.relay.touched = lambda name: None
         await asyncio.sleep(watchers[0].tuning.in_touch_for + 1.5)
-        assert not follower.following.current(FEED)
+        assert not follower.following.is_up_to_date(FEED)
 
     run(main())
 
@@ -155,11 +155,11 @@
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
-        follower.following.knows(FEED, 50)
-        assert follower.following.current(FEED)
+        follower.following.set_known_revision(FEED, 50)
+        assert follower.following.is_up_to_date(FEED)
         watcher.relay.take_changes(FEED, {"b": {"x": 2}}, [], 40)
         watcher.relay.take_changes(FEED, {"c": {"x": 3}}, [], 60)
-        news = await follower.following.next(FEED)
+        news = await follower.following.next_update(FEED)
         assert (news.changed, news.revision) == ({"c": {"x": 3}}, 60)
 
     run(main())
@@ -173,8 +173,8 @@
         watcher.relay.take_changes(FEED, {"b": {"x": 2}}, [], 13)
         await asyncio.sleep(0.1)
         assert follower.following.behind(FEED)
-        assert not follower.following.current(FEED)
-        assert await follower.following.next(FEED) is None
+        assert not follower.following.is_up_to_date(FEED)
+        assert await follower.following.next_update(FEED) is None
 
     run(main())
 
@@ -185,8 +185,8 @@
         watcher = followed(rig, follower)
         watcher.relay.take_changes(FEED, {"b": {"x": "y" * MOST_BYTES}}, [], 11)
         await asyncio.sleep(0.1)
-        assert not follower.following.current(FEED)
-        assert await follower.following.next(FEED) is None
+        assert not follower.following.is_up_to_date(FEED)
+        assert await follower.following.next_update(FEED) is None
 
     run(main())
 
@@ -201,7 +201,7 @@
         assert follower.following.behind(FEED)
         follower.following.store_lost(FEED)
         await asyncio.sleep(0.5)
-        news = await follower.following.next(FEED)
+        news = await follower.following.next_update(FEED)
         assert news.whole and news.revision == 11
         assert news.changed == {"a": {"x": 1}, **large}
 
@@ -249,18 +249,18 @@
         first.relay.take_changes(FEED, {"b": {"x": 2}}, [], 11)
         await asyncio.sleep(0.01)
         first.relay.take_changes(FEED, {"c": {"x": 3}}, [], 12)
-        follower.following.leave()
+        follower.following.unfollow()
         second.relay.take_changes(FEED, {"b": {"x": 2}}, [], 11)
         second.relay.take_changes(FEED, {}, ["b"], 13)
         rig.links.freeze(first.name)
         await asyncio.sleep(2.0)
         assert followed(rig, follower) is second
-        news = await follower.following.next(FEED)
+        news = await follower.following.next_update(FEED)
         assert news.whole and set(news.changed) == {"a"} and news.revision == 13
-        follower.following.knows(FEED, 13)
+        follower.following.set_known_revision(FEED, 13)
         rig.links.thaw(first.name)
         await asyncio.sleep(0.5)
-        assert not follower.following.has_news(FEED)
+        assert not follower.following.has_updates(FEED)
 
     run(main())
 
@@ -280,8 +280,8 @@
                 link.deliver_waiting()
         known = []
         while follower.following.feed(FEED).known < 13:
-            news = await follower.following.next(FEED)
-            follower.following.knows(FEED, news.revision)
+            news = await follower.following.next_update(FEED)
+            follower.following.set_known_revision(FEED, news.revision)
             known.append(news.revision)
         assert known == [11, 12, 13]
 
--- a/tests/sessions/test_store_return.py
+++ b/tests/sessions/test_store_return.py
@@ -132,7 +132,7 @@
     """Guards against resting on a watcher whose own watch hangs in a lost history."""
     old = FeedState(since=in_era(1, 90), revision=in_era(1, 99))
     feed = WatchedFeed(known=in_era(2, 3), state=old)
-    assert feed.confirmed is None
+    assert feed.confirmed_state is None
     assert not feed.behind and feed.ahead
 
 
