--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -29,7 +29,7 @@
     objects: dict = field(default_factory=dict)
     revision: int = 0
     since: int = 0
-    touched_at: float = float("-inf")
+    answered_at: float = float("-inf")
     pieces: list[ListPiece] = field(default_factory=list)
 
 
@@ -45,27 +45,27 @@
         self.clock = clock
         self.watches = watches
         self.in_touch_for = in_touch_for
-        self.limits = {}
+        self.confirmation_times = {}
         self.feeds = {}
         self.followers = set()
         self.sending = set()
 
     # What this daemon learns of the store
 
-    def confirm_for(self, name, seconds):
+    def set_confirmation_time(self, name, seconds):
         """Confirm a feed for so long after the store's last answer."""
-        self.limits[name] = seconds
+        self.confirmation_times[name] = seconds
 
-    def in_touch(self, name, feed):
+    def is_confirmed(self, name, feed):
         """Tell whether the store has answered for a feed lately."""
-        limit = self.limits.get(name, self.in_touch_for)
-        return bool(feed.revision) and self.clock() - feed.touched_at < limit
+        limit = self.confirmation_times.get(name, self.in_touch_for)
+        return bool(feed.revision) and self.clock() - feed.answered_at < limit
 
-    def knows(self, name):
+    def has_feed(self, name):
         """Tell whether all of a feed is kept here."""
         return name in self.feeds
 
-    def forget(self, name):
+    def drop_feed(self, name):
         """This daemon learns of a feed without us: what is kept here is out of date.
 
         What goes wrong without it: a daemon follows for a while, watches again, and
@@ -73,15 +73,15 @@
         """
         self.feeds.pop(name, None)
 
-    def touched(self, name):
+    def store_answered(self, name):
         """The store has answered for a feed."""
         if name in self.feeds:
-            self.feeds[name].touched_at = self.clock()
+            self.feeds[name].answered_at = self.clock()
 
-    def out_of_touch(self, name):
+    def store_unreachable(self, name):
         """The store did not answer for a feed: nothing is vouched for until it does."""
         if name in self.feeds:
-            self.feeds[name].touched_at = float("-inf")
+            self.feeds[name].answered_at = float("-inf")
 
     def take_all(self, name, objects, revision):
         """A whole list came: objects by name."""
@@ -90,26 +90,26 @@
         same_history = feed.revision and same_era(feed.revision, revision)
         same = same_history and feed.objects == objects
         feed.objects, feed.revision = dict(objects), revision
-        self.touched(name)
+        self.store_answered(name)
         if same:
             return
-        self.changed(feed)
-        self.pass_on(
+        self.mark_changed(feed)
+        self.publish(
             FeedUpdate(feed=name, revision=revision, whole=True, changed=objects)
         )
 
     def take_changes(self, name, changed, removed, revision):
         """Changes came: objects by name, and names of those removed."""
         feed = self.feeds[name]
-        self.touched(name)
+        self.store_answered(name)
         feed.objects.update(changed)
         for gone in removed:
             feed.objects.pop(gone, None)
         before, feed.revision = feed.revision, revision
         if not changed and not removed:
             return
-        self.changed(feed)
-        self.pass_on(
+        self.mark_changed(feed)
+        self.publish(
             FeedUpdate(
                 feed=name,
                 since=before,
@@ -119,14 +119,14 @@
             )
         )
 
-    def changed(self, feed):
+    def mark_changed(self, feed):
         """A feed is another one since the revision that it is known up to."""
         feed.since = feed.revision
         feed.pieces = []
 
     # What others learn of it
 
-    def pass_on(self, news):
+    def publish(self, news):
         """Send news to all who follow; of those that are too large only that they are.
 
         Who reads that a feed has changed since what it knows asks the store, or us.
@@ -135,10 +135,10 @@
             return
         data = encode(news)
         if len(data) > MOST_BYTES:
-            data = encode(self.current())
-        self.send_all(data)
+            data = encode(self.heartbeat())
+        self.broadcast(data)
 
-    def send_all(self, data):
+    def broadcast(self, data):
         """Send a message to all who follow; forget those whose link is gone."""
         self.followers = {desk for desk in self.followers if not desk.closed}
         for desk in self.followers:
@@ -157,19 +157,19 @@
             data = encode(whole)
             if len(data) <= MOST_BYTES:
                 desk.frames.send(data)
-        desk.frames.send(encode(self.current()))
+        desk.frames.send(encode(self.heartbeat()))
 
     def unfollow(self, desk):
         """A daemon follows no more."""
         self.followers.discard(desk)
 
-    def current(self):
+    def heartbeat(self):
         """Feeds that are in touch with the store, and how far they are known."""
         return Heartbeat(
             feeds={
                 name: FeedState(since=feed.since, revision=feed.revision)
                 for name, feed in self.feeds.items()
-                if self.in_touch(name, feed)
+                if self.is_confirmed(name, feed)
             },
             watches=self.watches(),
         )
@@ -194,7 +194,7 @@
         if feed is None:
             return True
         since = feed.since
-        for piece in self.packed(name, feed):
+        for piece in self.packed_pieces(name, feed):
             while desk.frames.backlog > PIECE_BYTES:
                 await asyncio.sleep(PIECE_PAUSE)
             if desk.closed or desk not in self.followers:
@@ -204,7 +204,7 @@
             desk.frames.send(encode(piece))
         return True
 
-    def packed(self, name, feed):
+    def packed_pieces(self, name, feed):
         """The pieces of a feed's list; all who ask for the same one share them."""
         if not feed.pieces:
             parts = pack(feed.objects)
@@ -225,4 +225,4 @@
         while True:
             await asyncio.sleep(BEAT_EVERY)
             if self.followers:
-                self.send_all(encode(self.current()))
+                self.broadcast(encode(self.heartbeat()))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -704,7 +704,7 @@
         )
         await feed.step()
         await feed.step()
-        assert not relay.knows("k")
+        assert not relay.has_feed("k")
         await feed.step()
         assert set(relay.feeds["k"].objects) == {"a"}
 
--- a/tests/sessions/feedrig.py
+++ b/tests/sessions/feedrig.py
@@ -214,7 +214,7 @@
         client = VirtualClient(store=self.store, daemon=proxy.name)
         self.clients[proxy.name] = client
         self.copies[proxy.name] = {kind: Copy() for kind in KINDS}
-        proxy.relay.confirm_for(CONFIG_KIND, longest_silence(CONFIG_WATCH_MS))
+        proxy.relay.set_confirmation_time(CONFIG_KIND, longest_silence(CONFIG_WATCH_MS))
         for kind, copy in self.copies[proxy.name].items():
             feed = Feed(
                 store=client,
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -319,8 +319,8 @@
         never,
     ),
     "watchers follow nobody": (FeedFollower, "store_lost", never),
-    "old lists are passed on": (Relay, "forget", never),
-    "changes pass unnoticed": (Relay, "changed", never),
+    "old lists are passed on": (Relay, "drop_feed", never),
+    "changes pass unnoticed": (Relay, "mark_changed", never),
 }
 
 
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -42,7 +42,7 @@
 
     async def keep_touching():
         while True:
-            proxy.relay.touched(FEED)
+            proxy.relay.store_answered(FEED)
             await asyncio.sleep(0.1)
 
     return keep_touching
@@ -128,7 +128,7 @@
     async def main():
         rig, follower, _ = await make_rig()
         first = followed(rig, follower)
-        first.relay.touched = lambda name: None
+        first.relay.store_answered = lambda name: None
         await asyncio.sleep(first.tuning.in_touch_for + 1.5)
         assert followed(rig, follower) is not first
         assert follower.following.is_up_to_date(FEED)
@@ -140,7 +140,7 @@
     async def main():
         rig, follower, watchers = await make_rig()
         for proxy in watchers:
-            proxy.relay.touched = lambda name: None
+            proxy.relay.store_answered = lambda name: None
         await asyncio.sleep(watchers[0].tuning.in_touch_for + 1.5)
         assert not follower.following.is_up_to_date(FEED)
 
