--- a/packages/links/gypsum_links/frames.py
+++ b/packages/links/gypsum_links/frames.py
@@ -44,7 +44,10 @@
 
 
 class FrameLink(asyncio.Protocol):
-    """One open link: `receiver` has `frame(data)` and, told once, `lost(why)`."""
+    """One open link.
+
+    `receiver` gets each message by `frame_received(data)`, and `link_lost(why)` once.
+    """
 
     def __init__(self, *, protocol, receiver=None):
         self.protocol = protocol
@@ -87,7 +90,7 @@
         if not isinstance(event, Frame):
             self.take_handshake(event)
         elif event.opcode is Opcode.BINARY and event.fin:
-            self.receiver.frame(bytes(event.data))
+            self.receiver.frame_received(bytes(event.data))
         elif event.opcode is Opcode.PONG:
             self.probe_answered()
         elif event.opcode is Opcode.CLOSE:
@@ -155,7 +158,7 @@
             return
         self.close()
         if self.receiver is not None:
-            self.receiver.lost(why)
+            self.receiver.link_lost(why)
 
     def close(self):
         """Close at once, what is queued included; the receiver is not told."""
--- a/packages/sessions/gypsum_sessions/daemons/feedfollower.py
+++ b/packages/sessions/gypsum_sessions/daemons/feedfollower.py
@@ -223,7 +223,7 @@
             watcher=self.link.peer,
             **progress_fields(name, feed),
         )
-        self.link.tell(FetchList(feed=name))
+        self.link.send_message(FetchList(feed=name))
 
     # From the link
 
@@ -323,8 +323,8 @@
         """Follow nobody; what was passed on and not taken is forgotten."""
         if self.link is None:
             return
-        self.link.following = None
-        self.link.tell(Unfollow())
+        self.link.follower = None
+        self.link.send_message(Unfollow())
         self.link = None
         for feed in self.feeds.values():
             feed.clear_watcher_state()
@@ -333,22 +333,22 @@
     async def choose_watcher(self):
         """Follow the first watcher that can be reached and may be of use."""
         watchers, now = self.daemons.watchers(), self.clock()
-        for name in self.peers.in_turn(watchers, len(watchers)):
+        for name in self.peers.ask_order(watchers, len(watchers)):
             if now < self.excluded_until.get(name, now):
                 continue
             try:
                 link = await self.peers.link(name, CHECK_INTERVAL)
-                await link.try_out()
+                await link.check_alive()
             except PeerLost:
                 continue
-            if link.leaving:
+            if link.draining:
                 continue
             self.link = link
             self.heard_at = self.chosen_at = self.clock()
             self.is_watcher = True
-            link.following = self
+            link.follower = self
             known = {feed: found.known for feed, found in self.feeds.items()}
-            link.tell(Follow(revisions=known))
+            link.send_message(Follow(revisions=known))
             self.log(PART, "following", watcher=name)
             return
 
--- a/packages/sessions/gypsum_sessions/daemons/homes.py
+++ b/packages/sessions/gypsum_sessions/daemons/homes.py
@@ -85,7 +85,7 @@
             return None
         try:
             link = await self.peers.link(name, patience)
-            answer = await link.ask(question, timeout=patience)
+            answer = await link.request(question, timeout=patience)
         except PeerLost as exc:
             self.leave_out(name, exc)
             return None
@@ -111,7 +111,7 @@
             await asyncio.sleep(TRIED_EVERY)
             try:
                 link = await self.peers.link(name, ANSWER_TIME)
-                await link.ask(nothing_wanted, timeout=ANSWER_TIME)
+                await link.request(nothing_wanted, timeout=ANSWER_TIME)
             except PeerLost:
                 continue
             self.heard(self.clock())
@@ -126,7 +126,9 @@
         """
         if len(self.daemons.known) == 1:
             return True
-        links = [link.heard_at for link in self.peers.links.values() if not link.gone]
+        links = [
+            link.heard_at for link in self.peers.links.values() if not link.close_reason
+        ]
         self.heard(max(links, default=self.heard_at))
         if self.clock() - self.heard_at < HEARD_WITHIN:
             return True
--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -29,14 +29,14 @@
 # Opening a link takes three round trips between failure domains, under 10 ms.
 DIAL_TIMEOUT = 0.4
 # A daemon that could not be reached is left alone for this long, seconds, doubling.
-AVOID_FIRST = 0.1
-AVOID_MOST = 2.0
+BACKOFF_MIN = 0.1
+BACKOFF_MAX = 2.0
 # Probes are answered within a few milliseconds; a daemon whose share of a processor is
 # used up is silent for a tenth of a second at a time.
-SILENT_AFTER = 0.6
-PROBE_EVERY = 0.15
+PROBE_TIMEOUT = 0.6
+PROBE_INTERVAL = 0.15
 # Before work that must not be repeated a link is tried that has been quiet for longer.
-QUIET_AFTER = 0.25
+IDLE_PROBE_AFTER = 0.25
 
 
 class PeerLost(Exception):
@@ -52,10 +52,10 @@
 class FrameReceiver(Protocol):
     """Who gets what arrives on a link."""
 
-    def frame(self, data: bytes) -> None:
+    def frame_received(self, data: bytes) -> None:
         """One message came."""
 
-    def lost(self, why: str) -> None:
+    def link_lost(self, why: str) -> None:
         """The link is gone."""
 
 
@@ -92,20 +92,20 @@
         self.peer = peer
         self.clock = clock
         self.frames = None
-        self.waiting = {}
+        self.pending = {}
         # Reads that were answered and may still run there, by the question's number.
-        self.unfinished = {}
-        self.numbers = 0
+        self.unfinished_reads = {}
+        self.last_number = 0
         self.heard_at = clock()
-        self.leaving = False
-        self.opens_until = float("inf")
-        self.gone = ""
-        self.watching = None
-        self.following = None
+        self.draining = False
+        self.accepts_until = float("inf")
+        self.close_reason = ""
+        self.watchdog = None
+        self.follower = None
 
     # FrameReceiver
 
-    def frame(self, data):
+    def frame_received(self, data):
         """An answer, news, or the word that the other daemon leaves."""
         self.heard_at = self.clock()
         try:
@@ -114,60 +114,60 @@
             self.close(str(exc))
             return
         if isinstance(message, Leaving):
-            self.leaving = True
-            self.opens_until = self.clock() + message.opens_for
+            self.draining = True
+            self.accepts_until = self.clock() + message.opens_for
         elif isinstance(message, StatementResponse | LeaderResponse | GrantResponse):
             if isinstance(message, StatementResponse) and message.unfinished:
-                self.unfinished[message.call] = asyncio.Event()
-            fut = self.waiting.pop(message.call, None)
+                self.unfinished_reads[message.call] = asyncio.Event()
+            fut = self.pending.pop(message.call, None)
             if fut is not None and not fut.done():
                 fut.set_result(message)
         elif isinstance(message, ReadEnded):
-            if message.call in self.unfinished:
-                self.unfinished.pop(message.call).set()
-        elif isinstance(message, FeedUpdate) and self.following is not None:
-            self.following.handle_update(message)
-        elif isinstance(message, Heartbeat) and self.following is not None:
-            self.following.handle_heartbeat(message)
-        elif isinstance(message, ListPiece) and self.following is not None:
-            self.following.handle_piece(message)
-
-    def lost(self, why):
+            if message.call in self.unfinished_reads:
+                self.unfinished_reads.pop(message.call).set()
+        elif isinstance(message, FeedUpdate) and self.follower is not None:
+            self.follower.handle_update(message)
+        elif isinstance(message, Heartbeat) and self.follower is not None:
+            self.follower.handle_heartbeat(message)
+        elif isinstance(message, ListPiece) and self.follower is not None:
+            self.follower.handle_piece(message)
+
+    def link_lost(self, why):
         """The link is gone, and all that waits with it."""
-        self.gone = self.gone or why
-        waiting, self.waiting = self.waiting, {}
-        for fut in waiting.values():
+        self.close_reason = self.close_reason or why
+        pending, self.pending = self.pending, {}
+        for fut in pending.values():
             if not fut.done():
-                fut.set_exception(self.loss("ask", sent=True))
+                fut.set_exception(self.lost_error("ask", sent=True))
 
     # Questions
 
     @property
     def usable(self):
         """Tell whether new work may go over it."""
-        return not self.gone and not self.leaving
+        return not self.close_reason and not self.draining
 
     def next_number(self):
         """A number that no other question or transaction of this link has."""
-        self.numbers += 1
-        return self.numbers
+        self.last_number += 1
+        return self.last_number
 
-    def loss(self, step, *, sent):
+    def lost_error(self, step, *, sent):
         """The error of a question on a link that is gone."""
-        return PeerLost(self.gone, step=step, peer=self.peer, sent=sent)
+        return PeerLost(self.close_reason, step=step, peer=self.peer, sent=sent)
 
-    async def read_ends(self, call, seconds):
+    async def wait_read_ended(self, call, seconds):
         """Wait until a read that was answered runs nowhere, or its time is over."""
-        ended = self.unfinished.get(call)
+        ended = self.unfinished_reads.get(call)
         if ended is None:
             return
         try:
             async with asyncio.timeout(seconds):
                 await ended.wait()
         except TimeoutError:
-            self.unfinished.pop(call, None)
+            self.unfinished_reads.pop(call, None)
 
-    async def ask_timed(self, make, pace, *, timeout):
+    async def timed_request(self, make, pace, *, timeout):
         """Ask, and note how long the answer took; raises PeerLost.
 
         An answer that declines the work counts as long as its sender says that it would
@@ -176,7 +176,7 @@
         began, token = self.clock(), object()
         pace.asked(token, began)
         try:
-            answer = await self.ask(make, timeout=timeout)
+            answer = await self.request(make, timeout=timeout)
         except PeerLost as exc:
             if exc.sent:
                 pace.note(self.clock() - began, self.clock())
@@ -189,32 +189,32 @@
             pace.note(answer.queue, self.clock())
         return answer
 
-    async def try_out(self):
+    async def check_alive(self):
         """Make sure that the other end is there; raises PeerLost.
 
         What goes wrong without it: something between two daemons has forgotten an idle
         link, and a write on it is in doubt although it never arrived.
         """
-        if self.clock() - self.heard_at < QUIET_AFTER:
+        if self.clock() - self.heard_at < IDLE_PROBE_AFTER:
             return
-        if not self.gone and await self.frames.probe(SILENT_AFTER):
+        if not self.close_reason and await self.frames.probe(PROBE_TIMEOUT):
             self.heard_at = self.clock()
             return
         self.close("silent")
-        raise self.loss("try", sent=False)
+        raise self.lost_error("try", sent=False)
 
-    async def ask(self, make: Callable, *, timeout):
+    async def request(self, make: Callable, *, timeout):
         """Send the question that `make` forms for its number; raises PeerLost."""
-        if self.gone:
-            raise self.loss("ask", sent=False)
+        if self.close_reason:
+            raise self.lost_error("ask", sent=False)
         call = self.next_number()
         fut = asyncio.get_running_loop().create_future()
-        self.waiting[call] = fut
+        self.pending[call] = fut
         if not self.frames.send(encode(make(call))):
-            del self.waiting[call]
+            del self.pending[call]
             raise PeerLost("takes no more", step="ask", peer=self.peer, sent=False)
-        if self.watching is None or self.watching.done():
-            self.watching = asyncio.create_task(self.watch_silence())
+        if self.watchdog is None or self.watchdog.done():
+            self.watchdog = asyncio.create_task(self.run_watchdog())
         try:
             async with asyncio.timeout(timeout):
                 return await fut
@@ -223,20 +223,20 @@
                 "no answer in time", step="ask", peer=self.peer, sent=True
             ) from None
         finally:
-            self.waiting.pop(call, None)
+            self.pending.pop(call, None)
 
-    def tell(self, message):
+    def send_message(self, message):
         """Send what needs no answer; a link that is gone needs it no more."""
-        if not self.gone:
+        if not self.close_reason:
             self.frames.send(encode(message))
 
-    async def watch_silence(self):
+    async def run_watchdog(self):
         """Close the link if it is silent while questions wait."""
-        while self.waiting and not self.gone:
-            await asyncio.sleep(PROBE_EVERY)
-            if not self.waiting or self.gone:
+        while self.pending and not self.close_reason:
+            await asyncio.sleep(PROBE_INTERVAL)
+            if not self.pending or self.close_reason:
                 return
-            if not await self.frames.probe(SILENT_AFTER):
+            if not await self.frames.probe(PROBE_TIMEOUT):
                 self.close("silent")
                 return
             self.heard_at = self.clock()
@@ -245,7 +245,7 @@
         """Give the link up."""
         if self.frames is not None:
             self.frames.close()
-        self.lost(why)
+        self.link_lost(why)
 
 
 @dataclass(slots=True, kw_only=True)
@@ -267,35 +267,37 @@
         self.log = log
         self.links = {}
         self.dials = {}
-        self.avoidance = {}
+        self.backoffs = {}
         # How fast each daemon answers in each group.
         self.paces = {}
 
     def avoided(self, name):
         """Tell whether others are asked before a daemon."""
-        return self.leaves(name) or name in self.avoidance
+        return self.is_draining(name) or name in self.backoffs
 
-    def leaves(self, name):
+    def is_draining(self, name):
         """Tell whether a daemon said that it leaves.
 
         It says so on each of its links, so that one without the word is of a process
         that has started since.
         """
         link = self.links.get(name)
-        return link is not None and not link.gone and link.leaving
+        return link is not None and not link.close_reason and link.draining
 
-    def linked(self, name):
+    def is_linked(self, name):
         """Tell whether there is a link to a daemon."""
         link = self.links.get(name)
-        return link is not None and not link.gone
+        return link is not None and not link.close_reason
 
-    def opens(self, name):
+    def accepts_transactions(self, name):
         """Tell whether a daemon may open a transaction, as far as we know.
 
         What goes wrong without it: where all that could have just started or leave, one
         that leaves is asked as it ends, and the statement is lost on the way.
         """
-        return not self.leaves(name) or self.clock() < self.links[name].opens_until
+        return (
+            not self.is_draining(name) or self.clock() < self.links[name].accepts_until
+        )
 
     def expected(self, name, group):
         """Seconds that a daemon's answers take in a group; None if not known."""
@@ -306,7 +308,7 @@
         """How fast a daemon answers in a group; it outlives the link."""
         return self.paces.setdefault((name, group), Pace())
 
-    def in_turn(self, names, owners, group="", workspace=""):
+    def ask_order(self, names, owners, group="", workspace=""):
         """Other daemons of a group's order in the turn in which we ask them.
 
         The first `owners` of the names own; see `owners_to_ask`.
@@ -325,23 +327,23 @@
         ]
         return owners_to_ask(views, owners=owners, daemon=own.id, workspace=workspace)
 
-    def silent_for(self, name):
+    def unreachable_for(self, name):
         """Seconds for which a daemon could not be reached, 0 if it could lately."""
-        found = self.avoidance.get(name)
+        found = self.backoffs.get(name)
         return self.clock() - found.since if found else 0.0
 
     async def link(self, name, timeout):
         """A link to a daemon, opened if there is none; raises PeerLost."""
         link = self.links.get(name)
-        if link is not None and not link.gone:
+        if link is not None and not link.close_reason:
             return link
-        found = self.avoidance.get(name)
+        found = self.backoffs.get(name)
         if found is not None and self.clock() < found.until:
             raise PeerLost("no new dial yet", step="dial", peer=name, sent=False)
         dial = self.dials.get(name)
         if dial is None:
             dial = self.dials[name] = asyncio.create_task(self.dial(name))
-            dial.add_done_callback(lambda task: self.dialled(name, task))
+            dial.add_done_callback(lambda task: self.dial_finished(name, task))
         try:
             async with asyncio.timeout(timeout):
                 return await asyncio.shield(dial)
@@ -362,34 +364,34 @@
         try:
             link.frames = await self.dialer.dial(entry.link, link, timeout=DIAL_TIMEOUT)
         except OSError as exc:
-            self.avoid(name)
+            self.back_off(name)
             raise PeerLost(str(exc), step="dial", peer=name, sent=False) from exc
         self.links[name] = link
-        if self.avoidance.pop(name, None) is not None:
+        if self.backoffs.pop(name, None) is not None:
             self.log(PART, "daemon reached again", peer=name)
         return link
 
-    def dialled(self, name, task):
+    def dial_finished(self, name, task):
         """A dial ended; who waited for it has its outcome."""
         self.dials.pop(name, None)
         if not task.cancelled():
             task.exception()
 
-    def avoid(self, name):
+    def back_off(self, name):
         """Leave a daemon alone that could not be reached, longer each time."""
-        now, found = self.clock(), self.avoidance.get(name)
+        now, found = self.clock(), self.backoffs.get(name)
         if found is None:
             self.log(PART, "daemon not reached", peer=name)
-            found = DialBackoff(until=now, pause=AVOID_FIRST / 2, since=now)
-        pause = min(2 * found.pause, AVOID_MOST)
-        self.avoidance[name] = DialBackoff(
+            found = DialBackoff(until=now, pause=BACKOFF_MIN / 2, since=now)
+        pause = min(2 * found.pause, BACKOFF_MAX)
+        self.backoffs[name] = DialBackoff(
             until=now + pause, pause=pause, since=found.since
         )
 
-    def forget(self, name):
+    def remove(self, name):
         """A daemon's entry is gone."""
         self.paces = {key: pace for key, pace in self.paces.items() if key[0] != name}
-        self.avoidance.pop(name, None)
+        self.backoffs.pop(name, None)
         link = self.links.pop(name, None)
         if link is not None:
             link.close("not registered any more")
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -86,7 +86,7 @@
             try:
                 link = await self.peers.link(name, job.left(self.around.clock))
                 if not repeats:
-                    await link.try_out()
+                    await link.check_alive()
                 answer = await self.ask(
                     link, job, last_resort=self.last_resort(name, asked_all, unable)
                 )
@@ -109,12 +109,12 @@
     def note_unfinished(self, job, link, answer):
         """Keep in mind that a read may still run at its owner."""
         if answer.unfinished:
-            ending = link.read_ends(answer.call, answer.unfinished)
+            ending = link.wait_read_ended(answer.call, answer.unfinished)
             job.leftovers.add(asyncio.create_task(ending))
 
     def last_resort(self, name, asked_all, unable):
         """Tell whether an owner has to try although it leaves or has just started."""
-        leaves = self.peers.leaves(name)
+        leaves = self.peers.is_draining(name)
         return is_last_resort(asked_all=asked_all, leaves=leaves, unable=unable)
 
     def owners(self, workspace=""):
@@ -124,13 +124,13 @@
         daemons = self.around.daemons
         count = daemons.owner_count(self.spec)
         names = daemons.order(self.spec.name, count * STAND_INS)
-        return self.peers.in_turn(names, count, self.spec.name, workspace)
+        return self.peers.ask_order(names, count, self.spec.name, workspace)
 
     async def ask(self, link, job, **how):
         """Ask one owner; raises PeerLost. `how` are fields of Ask."""
         job.owner = link.peer
         left = job.left(self.around.clock)
-        return await link.ask_timed(
+        return await link.timed_request(
             lambda call: StatementRequest(
                 call=call,
                 request=job.request,
@@ -241,7 +241,7 @@
         """Ask each owner once to open it; the first answer, None if nobody could."""
         unable = 0
         for name in self.access.owners(job.workspace):
-            if not self.access.peers.opens(name):
+            if not self.access.peers.accepts_transactions(name):
                 continue
             if not await self.take_link(job, name):
                 continue
@@ -259,7 +259,7 @@
             link = await self.access.peers.link(
                 name, job.left(self.access.around.clock)
             )
-            await link.try_out()
+            await link.check_alive()
         except PeerLost as exc:
             self.access.note_lost(job, name, exc)
             return False
@@ -269,7 +269,7 @@
     async def close(self):
         """Tell the owner that it is over; a broken link has told it already."""
         if self.link is not None and not self.over:
-            self.link.tell(EndTransaction(transaction=self.number))
+            self.link.send_message(EndTransaction(transaction=self.number))
         self.over = True
 
 
--- a/packages/sessions/gypsum_sessions/daemons/requesthandler.py
+++ b/packages/sessions/gypsum_sessions/daemons/requesthandler.py
@@ -80,14 +80,14 @@
         if self.proxy.departure:
             self.tell_leaving()
 
-    def frame(self, data):
+    def frame_received(self, data):
         """A message came."""
         try:
             message = decode(data)
         except MessageError as exc:
             self.proxy.log(PART, "unreadable message", peer=self.peer, error=str(exc))
             self.frames.close()
-            self.lost(str(exc))
+            self.link_lost(str(exc))
             return
         if isinstance(message, StatementRequest):
             self.take(message)
@@ -106,7 +106,7 @@
         elif isinstance(message, ServeGroup):
             self.proxy.hosting.serve(message.group)
 
-    def lost(self, why):
+    def link_lost(self, why):
         """The link is gone: so is all that it had."""
         if self.closed:
             return
--- a/packages/sessions/gypsum_sessions/daemons/standins.py
+++ b/packages/sessions/gypsum_sessions/daemons/standins.py
@@ -63,5 +63,5 @@
             self.proxy.log(PART, "stand-in not reached", peer=name, error=str(exc))
             self.told.discard(group)
             return
-        link.tell(ServeGroup(group=group))
+        link.send_message(ServeGroup(group=group))
         self.proxy.log(PART, "stand-in woken", peer=name, group=group)
--- a/packages/sessions/gypsum_sessions/daemons/warmlinks.py
+++ b/packages/sessions/gypsum_sessions/daemons/warmlinks.py
@@ -40,7 +40,7 @@
         return sorted(
             name
             for name in owners - {self.daemons.own.id}
-            if not self.peers.linked(name) and not self.peers.avoided(name)
+            if not self.peers.is_linked(name) and not self.peers.avoided(name)
         )
 
     async def run(self):
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -224,7 +224,7 @@
     def drop_daemon(self, name):
         """A daemon's entry was removed."""
         self.daemons.discard(name)
-        self.peers.forget(name)
+        self.peers.remove(name)
         self.usage.list_changed()
 
     # Members
@@ -349,7 +349,7 @@
             self.log(PART, "stood still", seconds=round(now - self.awake_at, 2))
             for desk in list(self.desks):
                 desk.frames.close()
-                desk.lost("stood still")
+                desk.link_lost("stood still")
         self.awake_at = now
         asyncio.get_running_loop().call_later(AWAKE_EVERY, self.watch_pauses)
 
--- a/packages/sessions/gypsum_sessions/takeover/reach.py
+++ b/packages/sessions/gypsum_sessions/takeover/reach.py
@@ -58,7 +58,7 @@
         asked_at = self.around.clock()
         try:
             link = await self.peers.link(name, ANSWER_TIME)
-            answer = await link.ask(
+            answer = await link.request(
                 lambda call: LeaderRequest(call=call, group=self.group.name),
                 timeout=ANSWER_TIME,
             )
--- a/tests/links/test_frames.py
+++ b/tests/links/test_frames.py
@@ -21,14 +21,14 @@
         """The link is open."""
         self.frames = frames
 
-    def frame(self, data):
+    def frame_received(self, data):
         """A message came."""
         self.got.append(data)
         self.came.set()
         if self.echo:
             self.frames.send(data)
 
-    def lost(self, why):
+    def link_lost(self, why):
         """The link is gone."""
         self.ends.append(why)
         self.came.set()
--- a/tests/platform/test_registrar.py
+++ b/tests/platform/test_registrar.py
@@ -27,7 +27,7 @@
         if name not in self.answering:
             raise PeerLost("no answer", step="dial", peer=name, sent=False)
 
-    def forget(self, name):
+    def remove(self, name):
         """The daemon is of no interest any more."""
         self.forgotten.append(name)
 
--- a/tests/sessions/fakelinks.py
+++ b/tests/sessions/fakelinks.py
@@ -133,14 +133,14 @@
         if self.at in self.links.frozen:
             self.waiting.append(data)
         elif self.alive:
-            self.receiver.frame(data)
+            self.receiver.frame_received(data)
 
     def deliver_waiting(self):
         """Hand over what came while the daemon stood still."""
         waiting, self.waiting = self.waiting, []
         for data in waiting:
             if self.alive:
-                self.receiver.frame(data)
+                self.receiver.frame_received(data)
 
     async def probe(self, timeout):
         """Tell whether the other end answers."""
@@ -162,4 +162,4 @@
         """The other end is gone."""
         if self.alive:
             self.close()
-            self.receiver.lost(why)
+            self.receiver.link_lost(why)
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -59,7 +59,7 @@
     link = await other.peers.link(owner.name, 0.4)
     draining = start_drain(owner)
     await asyncio.sleep(NOTICED)
-    link.leaving = False
+    link.draining = False
     return other, owner, draining
 
 
