--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -52,7 +52,7 @@
     proxy.departure = departure
     proxy.log(PART, "started", callers=len(proxy.callers), links=len(proxy.desks))
     for desk in list(proxy.desks):
-        desk.tell_leaving()
+        desk.send_leaving()
     stand_ins = StandIns(proxy=proxy)
     listening = True
     while departure.passed < plan.total:
@@ -101,7 +101,7 @@
             )
             await session.abort_open()
     for desk in list(proxy.desks):
-        desk.end_waiting()
+        desk.end_idle_transactions()
 
 
 def owners_work(proxy):
--- a/packages/sessions/gypsum_sessions/daemons/requesthandler.py
+++ b/packages/sessions/gypsum_sessions/daemons/requesthandler.py
@@ -35,7 +35,7 @@
 
 PART = "owner"
 # Statements of one link that are worked on at once: more than all slots of a group.
-MOST_ASKS = 300
+MAX_REQUESTS = 300
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -58,7 +58,7 @@
         self.proxy = proxy
         self.peer = peer
         self.frames = None
-        self.held = {}
+        self.transactions = {}
         self.tasks = set()
         self.reads = set()
         self.closed = False
@@ -66,7 +66,7 @@
     @property
     def busy(self):
         """Tell whether statements run or transactions are open."""
-        return bool(self.tasks or self.held)
+        return bool(self.tasks or self.transactions)
 
     # FrameReceiver
 
@@ -78,7 +78,7 @@
         """
         self.frames = frames
         if self.proxy.departure:
-            self.tell_leaving()
+            self.send_leaving()
 
     def frame_received(self, data):
         """A message came."""
@@ -90,13 +90,13 @@
             self.link_lost(str(exc))
             return
         if isinstance(message, StatementRequest):
-            self.take(message)
+            self.accept(message)
         elif isinstance(message, EndTransaction):
-            self.spawn(self.end(message.transaction))
+            self.spawn(self.end_transaction(message.transaction))
         elif isinstance(message, LeaderRequest):
-            self.tell_leader(message)
+            self.send_leader_response(message)
         elif isinstance(message, GrantRequest):
-            self.proxy.spawn(self.tell_leave(message))
+            self.proxy.spawn(self.send_grant_response(message))
         elif isinstance(message, Follow):
             self.proxy.relay.follow(self, message.revisions)
         elif isinstance(message, Unfollow):
@@ -114,22 +114,22 @@
         self.proxy.desks.discard(self)
         for task in self.reads:
             task.cancel()
-        for number in list(self.held):
-            self.spawn(self.end(number))
+        for number in list(self.transactions):
+            self.spawn(self.end_transaction(number))
 
     # Statements
 
-    def take(self, ask):
+    def accept(self, request):
         """Start to work on a statement, unless there are too many."""
         if self.closed:
             return
-        if len(self.tasks) >= MOST_ASKS:
-            self.answer(
-                StatementResponse(call=ask.call, reply=refused("too many at once"))
+        if len(self.tasks) >= MAX_REQUESTS:
+            self.respond(
+                StatementResponse(call=request.call, reply=not_run("too many at once"))
             )
             return
-        task = self.spawn(self.serve(ask))
-        if not ask.transaction and not ask.statement.writes:
+        task = self.spawn(self.serve(request))
+        if not request.transaction and not request.statement.writes:
             self.reads.add(task)
             task.add_done_callback(self.reads.discard)
 
@@ -141,29 +141,29 @@
         task.add_done_callback(self.proxy.finished)
         return task
 
-    async def serve(self, ask):
+    async def serve(self, request):
         """Run one statement and answer it."""
-        group = self.proxy.hosting.serve(ask.route.group)
-        unable = self.why_unable(ask, group)
+        group = self.proxy.hosting.serve(request.route.group)
+        unable = self.unable_reason(request, group)
         if unable:
-            self.answer(
-                StatementResponse(call=ask.call, reply=refused(unable), unable=True)
+            self.respond(
+                StatementResponse(call=request.call, reply=not_run(unable), unable=True)
             )
             return
-        if not self.proxy.catalog.stands(ask.credential):
-            reply = await self.refuse_withdrawn(ask)
-            self.answer(StatementResponse(call=ask.call, reply=reply))
+        if not self.proxy.catalog.stands(request.credential):
+            reply = await self.refuse_withdrawn_key(request)
+            self.respond(StatementResponse(call=request.call, reply=reply))
             return
-        job = job_of(ask, self.proxy)
-        if ask.transaction:
-            reply = await self.run_inside(group, ask, job)
-        elif ask.statement.writes:
+        job = make_job(request, self.proxy)
+        if request.transaction:
+            reply = await self.run_in_transaction(group, request, job)
+        elif request.statement.writes:
             reply = await run_write(group, job)
         else:
             reply = await run_read(group, job)
-        self.answer(
+        self.respond(
             StatementResponse(
-                call=ask.call,
+                call=request.call,
                 reply=reply,
                 tried=tuple(job.tried),
                 served_by=job.served_by,
@@ -174,13 +174,13 @@
                     self.proxy.clock, self.proxy.tuning.ping_timeout
                 ),
                 queue=job.queue,
-                unable=hands_on(ask, job, reply),
+                unable=may_run_elsewhere(request, job, reply),
             )
         )
-        if ask.hears_ends and any(not task.done() for task in job.leftovers):
-            self.proxy.spawn(self.tell_end(ask.call, job.leftovers))
+        if request.hears_ends and any(not task.done() for task in job.leftovers):
+            self.proxy.spawn(self.send_read_ended(request.call, job.leftovers))
 
-    async def refuse_withdrawn(self, ask):
+    async def refuse_withdrawn_key(self, request):
         """Refuse a caller whose key counts no more, as we know and who asks does not.
 
         What goes wrong without it: a daemon that the store turns away goes on letting
@@ -189,29 +189,31 @@
         self.proxy.log(
             PART,
             "key withdrawn",
-            request=ask.request,
-            workspace=ask.credential.workspace,
-            let_in_by=ask.credential.version,
+            request=request.request,
+            workspace=request.credential.workspace,
+            let_in_by=request.credential.version,
             version=self.proxy.catalog.version,
             peer=self.peer,
         )
-        if not ask.transaction or ask.first:
+        if not request.transaction or request.first:
             return withdrawn()
-        await self.end(ask.transaction)
+        await self.end_transaction(request.transaction)
         return aborted(KEY_WITHDRAWN)
 
-    def why_unable(self, ask, group):
+    def unable_reason(self, request, group):
         """Why a statement is left to another daemon; empty if it is run here."""
         if group is None:
             return "the group is not known here"
-        if ask.transaction and not ask.first:
+        if request.transaction and not request.first:
             return ""
-        if ask.if_led and not group.watch.leader:
+        if request.if_led and not group.watch.leader:
             return "no primary is proven here"
-        departure, opens = self.proxy.departure, bool(ask.transaction)
-        if departure and not departure.takes(opens=opens, last_resort=ask.last_resort):
+        departure, opens = self.proxy.departure, bool(request.transaction)
+        if departure and not departure.takes(
+            opens=opens, last_resort=request.last_resort
+        ):
             return "this daemon leaves"
-        if ask.last_resort:
+        if request.last_resort:
             return ""
         if not group.watch.last_leader:
             # What goes wrong without it: a daemon that has just started is asked first,
@@ -222,40 +224,42 @@
             # waits for the next one; callers come back through other daemons, and all
             # of these send their workspace's work to the same owner.
             return "no primary is proven here any more"
-        if not has_connection(ask, group):
+        if not has_connection(request, group):
             return "no connection is free here"
         return ""
 
-    async def tell_end(self, call, tasks):
+    async def send_read_ended(self, call, tasks):
         """Tell when attempts that are not needed any more have ended."""
         await asyncio.wait(tasks)
         if not self.closed:
             self.frames.send(encode(ReadEnded(call=call)))
 
-    async def run_inside(self, group, ask, job):
+    async def run_in_transaction(self, group, request, job):
         """Run a statement of a transaction, which its first one opens."""
-        held = self.held.get(ask.transaction)
+        held = self.transactions.get(request.transaction)
         if held is None:
-            if not ask.first:
+            if not request.first:
                 return aborted("the transaction is not known here")
             transaction = Transaction(
                 group=group,
-                route=ask.route,
-                writes=ask.opens_writing,
+                route=request.route,
+                writes=request.opens_writing,
                 arrived=job.arrived,
             )
-            held = self.held[ask.transaction] = HeldTransaction(transaction=transaction)
+            held = self.transactions[request.transaction] = HeldTransaction(
+                transaction=transaction
+            )
         async with held.lock:
             if held.ended or self.closed:
                 return aborted("the transaction was ended")
-            held.request = ask.request
-            held.transaction.values_set = ask.values_set
-            reply = await self.run_held(held, job)
+            held.request = request.request
+            held.transaction.values_set = request.values_set
+            reply = await self.run_held_statement(held, job)
         if held.ended:
-            self.held.pop(ask.transaction, None)
+            self.transactions.pop(request.transaction, None)
         return reply
 
-    async def run_held(self, held, job):
+    async def run_held_statement(self, held, job):
         """Run a statement while nothing else touches its transaction."""
         job.arrived = held.transaction.arrived
         if job.statement.commits:
@@ -265,47 +269,47 @@
         held.ended = not reply.ok
         return reply
 
-    async def end(self, number):
+    async def end_transaction(self, number):
         """Roll back a transaction, after the statement that runs in it."""
-        held = self.held.get(number)
+        held = self.transactions.get(number)
         if held is None:
             return
         async with held.lock:
             held.ended = True
             await held.transaction.close()
-        self.held.pop(number, None)
+        self.transactions.pop(number, None)
 
-    def tell_leader(self, question):
+    def send_leader_response(self, request):
         """Answer when we have last proven a group's primary."""
-        group = self.proxy.groups.get(question.group)
+        group = self.proxy.groups.get(request.group)
         age = group.watch.proof_age() if group is not None else None
-        self.answer(LeaderResponse(call=question.call, proof_age=age))
+        self.respond(LeaderResponse(call=request.call, proof_age=age))
 
-    async def tell_leave(self, question):
+    async def send_grant_response(self, request):
         """Answer whether operations of a workspace may begin."""
-        answer = await self.proxy.usage.answer(question)
-        self.answer(replace(answer, call=question.call))
+        answer = await self.proxy.usage.answer(request)
+        self.respond(replace(answer, call=request.call))
 
-    def answer(self, answer):
+    def respond(self, answer):
         """Send an answer, unless nobody waits for it any more."""
         if not self.closed:
             self.frames.send(encode(answer))
 
     # Leaving
 
-    def tell_leaving(self):
+    def send_leaving(self):
         """Ask the other daemon to send new work elsewhere."""
         departure = self.proxy.departure
         opens_for = departure.opens_for if departure else 0.0
         if not self.closed:
             self.frames.send(encode(Leaving(opens_for=opens_for)))
 
-    def end_waiting(self):
+    def end_idle_transactions(self):
         """Roll back transactions that wait for their callers.
 
         They stay known as ended: the next statement of one is told so.
         """
-        for held in self.held.values():
+        for held in self.transactions.values():
             if not held.lock.locked() and not held.ended:
                 held.ended = True
                 self.proxy.drain_ended += 1
@@ -315,44 +319,44 @@
                 self.spawn(held.transaction.close())
 
 
-def has_connection(ask, group):
+def has_connection(request, group):
     """Tell whether a statement gets a connection here without a long wait.
 
     What goes wrong without it: transactions that pause hold all connections of one
     owner, others wait for them until their deadline, and another owner has some that
     are idle.
     """
-    if ask.transaction:
-        return group.has_connection(writes=ask.opens_writing)
-    return group.has_connection(writes=ask.statement.writes, soon=True)
+    if request.transaction:
+        return group.has_connection(writes=request.opens_writing)
+    return group.has_connection(writes=request.statement.writes, soon=True)
 
 
-def hands_on(ask, job, reply):
+def may_run_elsewhere(request, job, reply):
     """Tell whether another owner should try what this one's queue leaves no time for.
 
     What goes wrong without it: callers are refused by the owner that is asked first, on
     a slow machine perhaps, while others could serve them.
     """
-    inside = bool(ask.transaction) and not ask.first
-    return not reply.ok and bool(job.queue) and not ask.last_resort and not inside
+    inside = bool(request.transaction) and not request.first
+    return not reply.ok and bool(job.queue) and not request.last_resort and not inside
 
 
-def job_of(ask, proxy):
+def make_job(request, proxy):
     """The job of a statement; it counts as arrived now, so no floor is too old."""
     now = proxy.clock()
     return Job(
-        request=ask.request,
-        statement=ask.statement,
-        route=ask.route,
+        request=request.request,
+        statement=request.statement,
+        route=request.route,
         arrived=now,
-        deadline=proxy.deadline(now + ask.left),
-        values=ask.values,
-        prepared=ask.prepared,
-        own_floor=ask.own_floor,
-        credential=ask.credential,
+        deadline=proxy.deadline(now + request.left),
+        values=request.values,
+        prepared=request.prepared,
+        own_floor=request.own_floor,
+        credential=request.credential,
     )
 
 
-def refused(detail):
+def not_run(detail):
     """The reply to a statement that was not begun."""
     return Reply(refusal=Refusal.BUSY, detail=f"not run, {detail}")
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -426,10 +426,10 @@
         """A daemon leaves: it takes no new work and ends what waits."""
         proxy = self.rng.choice(self.rig.proxies)
         for desk in list(proxy.desks):
-            desk.tell_leaving()
+            desk.send_leaving()
         loop = asyncio.get_running_loop()
         for desk in list(proxy.desks):
-            loop.call_later(1.0, desk.end_waiting)
+            loop.call_later(1.0, desk.end_idle_transactions)
 
     def withdraw(self):
         """A workspace loses its key, at each daemon at another moment."""
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -161,7 +161,7 @@
         await asyncio.sleep(NOTICED)
         asked = []
         for desk in [desk for proxy in rig.proxies for desk in proxy.desks]:
-            desk.take = asked.append
+            desk.accept = asked.append
         caller = rig.caller("own", other)
         await caller.send("BEGIN")
         sending = asyncio.create_task(caller.send("WRITE a 1"))
@@ -417,7 +417,7 @@
         start_drain(owner)
         await asyncio.sleep(NOTICED)
         for desk in owner.desks:
-            desk.held.clear()
+            desk.transactions.clear()
         assert (await caller.send("COMMIT")).refusal is Refusal.ABORTED
         assert rig.group.acknowledged == []
 
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -148,7 +148,7 @@
         await asyncio.sleep(0.5)
         assert rig.group.acknowledged == []
         desks = [desk for proxy in rig.owners() for desk in proxy.desks]
-        assert all(not desk.held for desk in desks)
+        assert all(not desk.transactions for desk in desks)
         assert (await caller.send("ROLLBACK")).ok
         assert (await caller.send("WRITE a 2")).ok
 
@@ -192,7 +192,7 @@
         name = owner_of(caller)
         owner = rig.links.proxies[name]
         for desk in owner.desks:
-            desk.tell_leaving()
+            desk.send_leaving()
         await asyncio.sleep(0.01)
         assert other.access("db").owners()[-1] == name
         await second.send("BEGIN")
@@ -208,7 +208,7 @@
         rig = await make_rig()
         caller, owner = await open_transaction(rig)
         for desk in rig.links.proxies[owner].desks:
-            desk.end_waiting()
+            desk.end_idle_transactions()
         await asyncio.sleep(0.05)
         assert (await caller.send("COMMIT")).refusal is Refusal.ABORTED
         assert rig.group.acknowledged == []
@@ -222,7 +222,9 @@
         caller, _ = await open_transaction(rig)
         await rig.others()[0].close_session(caller.session)
         await asyncio.sleep(0.1)
-        assert all(not desk.held for proxy in rig.owners() for desk in proxy.desks)
+        assert all(
+            not desk.transactions for proxy in rig.owners() for desk in proxy.desks
+        )
 
     run(main())
 
