--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -106,7 +106,7 @@
         Asked once for an operation, before it waits for anything else.
         """
         workspace = self.credential.workspace
-        wait = await self.proxy.usage.leave(workspace) if workspace else 0.0
+        wait = await self.proxy.usage.acquire(workspace) if workspace else 0.0
         if not wait:
             return None
         return Reply(
--- a/packages/sessions/gypsum_sessions/daemons/homes.py
+++ b/packages/sessions/gypsum_sessions/daemons/homes.py
@@ -12,16 +12,16 @@
 PART = "usage"
 # A home that lives answers within a few milliseconds; one whose share of a processor is
 # used up within a tenth of a second. Seconds.
-ANSWER_TIME = 0.15
+ANSWER_TIMEOUT = 0.15
 # One that stands in asks those before it for no longer than this, seconds.
-FORWARD_TIME = 0.06
+FORWARD_TIMEOUT = 0.06
 # A home that gave no answer is tried again this often, seconds.
-TRIED_EVERY = 0.5
+PROBE_INTERVAL = 0.5
 # A daemon that has heard none of the others for this long asks whether it is cut off.
-HEARD_WITHIN = 0.5
+HEARD_TIMEOUT = 0.5
 # One that has heard none for this long may have been away, seconds: in a fleet with
 # traffic each hears another one several times a second.
-AWAY_AFTER = 1.0
+ABSENT_AFTER = 1.0
 NO_CAP = Cap(rate=0.0, burst=0.0)
 
 
@@ -31,15 +31,15 @@
     `returned` is called when this daemon hears others again after it has heard none.
     """
 
-    def __init__(self, *, daemons, peers, catalog, clock, log, returned):
+    def __init__(self, *, daemons, peers, catalog, clock, log, reconnected):
         self.daemons = daemons
         self.peers = peers
         self.catalog = catalog
         self.clock = clock
         self.log = log
-        self.returned = returned
+        self.reconnected = reconnected
         # Homes that do not answer, each with the task that looks for it.
-        self.left_out = {}
+        self.unreachable = {}
         # The group whose owners count for a workspace, of the groups in force.
         self.group_of = {}
         self.groups = frozenset()
@@ -49,10 +49,10 @@
 
     def close(self):
         """Look for homes no more."""
-        for task in list(self.left_out.values()):
+        for task in list(self.unreachable.values()):
             task.cancel()
 
-    def of(self, workspace):
+    def for_workspace(self, workspace):
         """The daemons that count for a workspace, the first one unless it is away.
 
         They own a group, the same one for a workspace: to owners there are links
@@ -74,51 +74,51 @@
         if groups != self.groups:
             self.groups, self.group_of = groups, {}
 
-    def place(self, workspace):
+    def rank(self, workspace):
         """This daemon's place among a workspace's homes; after them if it is none."""
-        homes, own = self.of(workspace), self.daemons.own.id
+        homes, own = self.for_workspace(workspace), self.daemons.own.id
         return homes.index(own) if own in homes else len(homes)
 
-    async def ask(self, name, question, *, patience=ANSWER_TIME):
+    async def request(self, name, make, *, timeout=ANSWER_TIMEOUT):
         """The answer of one home to the question formed for a number; None without."""
-        if name in self.left_out:
+        if name in self.unreachable:
             return None
         try:
-            link = await self.peers.link(name, patience)
-            answer = await link.request(question, timeout=patience)
+            link = await self.peers.link(name, timeout)
+            answer = await link.request(make, timeout=timeout)
         except PeerLost as exc:
-            self.leave_out(name, exc)
+            self.mark_unreachable(name, exc)
             return None
-        self.heard(self.clock())
+        self.record_heard(self.clock())
         return answer
 
-    def leave_out(self, name, exc):
+    def mark_unreachable(self, name, exc):
         """Ask a home no more until it answers again.
 
         What goes wrong when callers ask again now and then: on a daemon that is cut off
         some operation waits in vain for each home every second.
         """
-        if name in self.left_out:
+        if name in self.unreachable:
             return
         self.log(PART, "home lost", home=name, error=str(exc))
-        task = asyncio.create_task(self.until_answers(name))
-        self.left_out[name] = task
-        task.add_done_callback(lambda _: self.left_out.pop(name, None))
+        task = asyncio.create_task(self.probe_until_reachable(name))
+        self.unreachable[name] = task
+        task.add_done_callback(lambda _: self.unreachable.pop(name, None))
 
-    async def until_answers(self, name):
+    async def probe_until_reachable(self, name):
         """Wait until a daemon answers again, or is not known any more."""
         while self.daemons.get(name) is not None:
-            await asyncio.sleep(TRIED_EVERY)
+            await asyncio.sleep(PROBE_INTERVAL)
             try:
-                link = await self.peers.link(name, ANSWER_TIME)
-                await link.request(nothing_wanted, timeout=ANSWER_TIME)
+                link = await self.peers.link(name, ANSWER_TIMEOUT)
+                await link.request(empty_request, timeout=ANSWER_TIMEOUT)
             except PeerLost:
                 continue
-            self.heard(self.clock())
+            self.record_heard(self.clock())
             self.log(PART, "home answers again", home=name)
             return
 
-    async def in_touch(self, workspace):
+    async def is_connected(self, workspace):
         """Tell whether this daemon hears any other one.
 
         What goes wrong without it: a home that is cut off counts for its own callers,
@@ -129,24 +129,24 @@
         links = [
             link.heard_at for link in self.peers.links.values() if not link.close_reason
         ]
-        self.heard(max(links, default=self.heard_at))
-        if self.clock() - self.heard_at < HEARD_WITHIN:
+        self.record_heard(max(links, default=self.heard_at))
+        if self.clock() - self.heard_at < HEARD_TIMEOUT:
             return True
-        for name in self.of(workspace):
+        for name in self.for_workspace(workspace):
             if name == self.daemons.own.id:
                 continue
-            answer = await self.ask(name, nothing_wanted, patience=FORWARD_TIME)
+            answer = await self.request(name, empty_request, timeout=FORWARD_TIMEOUT)
             if answer is not None:
                 return True
         return False
 
-    def heard(self, at):
+    def record_heard(self, at):
         """Another daemon was heard then; what others granted may have passed us by."""
         before, self.heard_at = self.heard_at, max(self.heard_at, at)
-        if self.heard_at - before >= AWAY_AFTER:
-            self.returned()
+        if self.heard_at - before >= ABSENT_AFTER:
+            self.reconnected()
 
 
-def nothing_wanted(call):
+def empty_request(call):
     """A question that only wants an answer."""
     return GrantRequest(call=call, workspace="", wanted=0, cap=NO_CAP)
--- a/packages/sessions/gypsum_sessions/daemons/requesthandler.py
+++ b/packages/sessions/gypsum_sessions/daemons/requesthandler.py
@@ -287,7 +287,7 @@
 
     async def send_grant_response(self, request):
         """Answer whether operations of a workspace may begin."""
-        answer = await self.proxy.usage.answer(request)
+        answer = await self.proxy.usage.handle_request(request)
         self.respond(replace(answer, call=request.call))
 
     def respond(self, answer):
--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -16,16 +16,16 @@
     lone_cap,
     stand_in_cap,
 )
-from gypsum_sessions.daemons.homes import ANSWER_TIME, FORWARD_TIME, PART, Homes
+from gypsum_sessions.daemons.homes import ANSWER_TIMEOUT, FORWARD_TIMEOUT, PART, Homes
 from gypsum_sessions.daemons.peermessages import GrantRequest, GrantResponse
 
 # A stand-in that was not asked for this long starts anew, seconds: the home has counted
 # meanwhile.
 STALE_AFTER = 1.0
 # Operations that one question asks for, at most.
-MOST_WANTED = 200
+MAX_BATCH = 200
 # The shortest wait that a refusal tells, seconds: none would say that it may run.
-LEAST_WAIT = 0.001
+MIN_WAIT = 0.001
 
 
 @dataclass(slots=True, kw_only=True)
@@ -50,90 +50,92 @@
             catalog=catalog,
             clock=clock,
             log=log,
-            returned=self.returned,
+            reconnected=self.reconnected,
         )
         # When this daemon may have become the home of any workspace.
-        self.known_since = clock()
+        self.candidate_since = clock()
         self.buckets = {}
         # What this daemon grants by itself while it reaches no home.
-        self.lone = {}
-        self.waiting = {}
-        self.asking = {}
+        self.isolated_buckets = {}
+        self.waiters = {}
+        self.request_tasks = {}
         self.refused_until = {}
-        self.tallies = {}
+        self.outcomes = {}
 
-    def list_changed(self):
+    def daemons_changed(self):
         """The list of daemons is another one: so may be the homes."""
-        self.known_since = self.clock()
+        self.candidate_since = self.clock()
 
-    def returned(self):
+    def reconnected(self):
         """This daemon has heard no other one for a while; somebody counted meanwhile.
 
         What goes wrong without it: a home that was cut off, or stood still, comes back
         with a full bucket beside what its stand-in has granted.
         """
-        now = self.known_since = self.clock()
+        now = self.candidate_since = self.clock()
         for bucket in self.buckets.values():
             bucket.fill(now)
             bucket.tokens = min(bucket.tokens, FIRST_GRANTS)
 
     # For this daemon's callers
 
-    async def leave(self, workspace):
+    async def acquire(self, workspace):
         """Ask leave for one operation: 0 if it may run, else the seconds to wait."""
         if self.catalog.cap(workspace) is None:
             return 0.0
         wait = self.refused_until.get(workspace, 0.0) - self.clock()
         if wait <= 0:
-            wait = await self.ask_with_others(workspace)
-        self.count_outcome(workspace, wait)
+            wait = await self.join_batch(workspace)
+        self.record_outcome(workspace, wait)
         return wait
 
-    async def ask_with_others(self, workspace):
+    async def join_batch(self, workspace):
         """Wait for the answer to the next question about a workspace."""
         fut = asyncio.get_running_loop().create_future()
-        self.waiting.setdefault(workspace, []).append(fut)
-        if workspace not in self.asking:
-            task = asyncio.create_task(self.ask_for_all(workspace))
-            self.asking[workspace] = task
+        self.waiters.setdefault(workspace, []).append(fut)
+        if workspace not in self.request_tasks:
+            task = asyncio.create_task(self.request_batches(workspace))
+            self.request_tasks[workspace] = task
         return await fut
 
-    async def ask_for_all(self, workspace):
+    async def request_batches(self, workspace):
         """Ask for all that wait, and again for those that came meanwhile."""
-        waiting = []
+        waiters = []
         try:
-            while waiting := self.waiting.pop(workspace, []):
-                answer = await self.ask(workspace, min(len(waiting), MOST_WANTED))
-                self.tell(workspace, waiting, answer)
+            while waiters := self.waiters.pop(workspace, []):
+                answer = await self.request_grant(
+                    workspace, min(len(waiters), MAX_BATCH)
+                )
+                self.resolve(workspace, waiters, answer)
         finally:
             # Should asking fail in a way that nobody thought of, nobody waits for ever.
-            del self.asking[workspace]
-            left = waiting + self.waiting.pop(workspace, [])
-            self.tell(
+            del self.request_tasks[workspace]
+            left = waiters + self.waiters.pop(workspace, [])
+            self.resolve(
                 workspace, left, GrantResponse(call=0, granted=0, wait=REFUSED_FOR)
             )
 
-    def tell(self, workspace, waiting, answer):
+    def resolve(self, workspace, waiters, answer):
         """Let those run that have leave, and refuse the others."""
-        live = [fut for fut in waiting if not fut.done()]
+        live = [fut for fut in waiters if not fut.done()]
         for fut in live[: answer.granted]:
             fut.set_result(0.0)
         for fut in live[answer.granted :]:
-            fut.set_result(max(answer.wait, LEAST_WAIT))
-        if answer.granted < len(waiting):
+            fut.set_result(max(answer.wait, MIN_WAIT))
+        if answer.granted < len(waiters):
             pause = min(answer.wait, REFUSED_FOR)
             self.refused_until[workspace] = self.clock() + pause
 
-    def count_outcome(self, workspace, wait):
+    def record_outcome(self, workspace, wait):
         """Keep count, and log the first refusal and the first leave after one."""
-        tally = self.tallies.setdefault(workspace, OutcomeCounts())
+        outcome = self.outcomes.setdefault(workspace, OutcomeCounts())
         if not wait:
-            tally.granted += 1
+            outcome.granted += 1
             if self.refused_until.pop(workspace, None) is not None:
                 self.log(PART, "let in again", workspace=workspace)
             return
-        tally.refused += 1
-        if tally.refused == 1:
+        outcome.refused += 1
+        if outcome.refused == 1:
             self.log(
                 PART,
                 "over its cap",
@@ -144,22 +146,22 @@
 
     # Questions to homes, and those of others
 
-    async def ask(self, workspace, wanted, *, cap=None, forwarded=False):
+    async def request_grant(self, workspace, wanted, *, cap=None, forwarded=False):
         """Ask the homes in turn; a LeaveAnswer, of our own count if we come next.
 
         `cap` is that of another daemon which asks us, `forwarded` that it did.
         """
-        cap = self.newer(workspace, cap)
+        cap = self.newer_cap(workspace, cap)
         if cap is None:
             return GrantResponse(call=0, granted=wanted)
-        patience = FORWARD_TIME if forwarded else ANSWER_TIME
-        homes = self.homes.of(workspace)
-        for place, name in enumerate(homes):
+        timeout = FORWARD_TIMEOUT if forwarded else ANSWER_TIMEOUT
+        homes = self.homes.for_workspace(workspace)
+        for rank, name in enumerate(homes):
             if name == self.daemons.own.id:
-                if not forwarded and not await self.homes.in_touch(workspace):
+                if not forwarded and not await self.homes.is_connected(workspace):
                     break
-                return self.count(workspace, wanted, cap, place)
-            answer = await self.homes.ask(
+                return self.grant_as_home(workspace, wanted, cap, rank)
+            answer = await self.homes.request(
                 name,
                 lambda call: GrantRequest(
                     call=call,
@@ -168,30 +170,34 @@
                     cap=cap,
                     forwarded=forwarded,
                 ),
-                patience=patience,
+                timeout=timeout,
             )
             if answer is not None:
                 return answer
         if forwarded:
-            return self.count(workspace, wanted, cap, len(homes))
-        return self.count_alone(workspace, wanted, cap)
+            return self.grant_as_home(workspace, wanted, cap, len(homes))
+        return self.grant_isolated(workspace, wanted, cap)
 
-    async def answer(self, question):
+    async def handle_request(self, request):
         """Answer another daemon's question.
 
         Whoever is not the home by its own list asks who is, unless it was asked as one
         by a daemon that did so: two that disagree would ask each other for ever.
         """
-        self.homes.heard(self.clock())
-        if not question.wanted:
+        self.homes.record_heard(self.clock())
+        if not request.wanted:
             return GrantResponse(call=0, granted=0)
-        workspace, wanted = question.workspace, question.wanted
-        if question.forwarded:
-            cap = self.newer(workspace, question.cap)
-            return self.count(workspace, wanted, cap, self.homes.place(workspace))
-        return await self.ask(workspace, wanted, cap=question.cap, forwarded=True)
+        workspace, wanted = request.workspace, request.wanted
+        if request.forwarded:
+            cap = self.newer_cap(workspace, request.cap)
+            return self.grant_as_home(
+                workspace, wanted, cap, self.homes.rank(workspace)
+            )
+        return await self.request_grant(
+            workspace, wanted, cap=request.cap, forwarded=True
+        )
 
-    def newer(self, workspace, cap):
+    def newer_cap(self, workspace, cap):
         """The newer of another daemon's cap for a workspace and ours."""
         own = self.catalog.cap(workspace)
         if cap is None or (own is not None and own.version >= cap.version):
@@ -200,24 +206,26 @@
 
     # Counting
 
-    def count(self, workspace, wanted, cap, place):
+    def grant_as_home(self, workspace, wanted, cap, rank):
         """Grant as home; with a `place` above 0 in the place of one that is away."""
         now = self.clock()
-        if place:
+        if rank:
             cap = stand_in_cap(cap)
         bucket = self.buckets.get(workspace)
-        if bucket is None or (place and now - bucket.at > STALE_AFTER):
-            known_for = 0.0 if place else now - self.known_since
+        if bucket is None or (rank and now - bucket.at > STALE_AFTER):
+            known_for = 0.0 if rank else now - self.candidate_since
             tokens = first_tokens(cap, known_for)
             bucket = self.buckets[workspace] = Bucket(cap=cap, now=now, tokens=tokens)
         return grant(bucket, cap, wanted, now)
 
-    def count_alone(self, workspace, wanted, cap):
+    def grant_isolated(self, workspace, wanted, cap):
         """Grant what a daemon may that reaches no home."""
         now, part = self.clock(), lone_cap(cap, len(self.daemons.known))
-        bucket = self.lone.get(workspace)
+        bucket = self.isolated_buckets.get(workspace)
         if bucket is None:
-            bucket = self.lone[workspace] = Bucket(cap=part, now=now, tokens=0.0)
+            bucket = self.isolated_buckets[workspace] = Bucket(
+                cap=part, now=now, tokens=0.0
+            )
         return grant(bucket, part, wanted, now)
 
 
--- a/packages/sessions/gypsum_sessions/measures.py
+++ b/packages/sessions/gypsum_sessions/measures.py
@@ -130,11 +130,11 @@
     def take_usage(self, usage):
         """Refresh what became of the operations of workspaces that have a cap."""
         totals = {}
-        for workspace, tally in usage.tallies.items():
+        for workspace, outcome in usage.outcomes.items():
             name = workspace if workspace in self.named else OTHERS
             total = totals.setdefault(name, OutcomeCounts())
-            total.granted += tally.granted
-            total.refused += tally.refused
+            total.granted += outcome.granted
+            total.refused += outcome.refused
         for name, total in totals.items():
             self.usage.set({"workspace": name, "what": "granted"}, total.granted)
             self.usage.set({"workspace": name, "what": "refused"}, total.refused)
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -206,13 +206,13 @@
     def take_daemons(self, entries):
         """Take in the whole list of daemons."""
         self.daemons.take_all(entries)
-        self.usage.list_changed()
+        self.usage.daemons_changed()
         self.hosting.tend()
 
     def take_daemon(self, entry):
         """A daemon registered, or changed its entry; groups are tended to soon."""
         self.daemons.add(entry)
-        self.usage.list_changed()
+        self.usage.daemons_changed()
 
     def drop_missing(self):
         """One look at daemons that the list lacks: drop those that stay away."""
@@ -225,7 +225,7 @@
         """A daemon's entry was removed."""
         self.daemons.discard(name)
         self.peers.remove(name)
-        self.usage.list_changed()
+        self.usage.daemons_changed()
 
     # Members
 
--- a/tests/sessions/test_usage.py
+++ b/tests/sessions/test_usage.py
@@ -92,7 +92,7 @@
 
 def home_of(rig):
     """The daemon that counts for the workspace."""
-    return rig.proxy.usage.homes.of("north")[0]
+    return rig.proxy.usage.homes.for_workspace("north")[0]
 
 
 def test_below_its_cap_nothing_is_refused():
@@ -149,7 +149,7 @@
         caller = rig.caller(key="n1")
         for text in ("BEGIN", "WRITE a 1", "READ a", "WRITE a 2", "COMMIT"):
             assert (await caller.send(text)).ok
-        assert usage.tallies["north"].granted == 1
+        assert usage.outcomes["north"].granted == 1
 
     run(main())
 
@@ -243,7 +243,9 @@
 def test_a_daemon_that_reaches_no_other_lets_little_through():
     async def main():
         rig = await capped_rig(daemons=12)
-        alone = [p for p in rig.proxies if p.name not in p.usage.homes.of("north")][:3]
+        alone = [
+            p for p in rig.proxies if p.name not in p.usage.homes.for_workspace("north")
+        ][:3]
         names = {proxy.name for proxy in alone}
         rig.links.cut |= {
             frozenset({one.name, other.name})
@@ -270,19 +272,21 @@
 
     async def main():
         rig = await capped_rig()
-        alone = next(p for p in rig.proxies if p.name not in p.usage.homes.of("north"))
+        alone = next(
+            p for p in rig.proxies if p.name not in p.usage.homes.for_workspace("north")
+        )
         pairs = {frozenset({alone.name, other.name}) for other in rig.proxies}
         rig.links.cut |= pairs
-        await alone.usage.leave("north")
+        await alone.usage.acquire("north")
         for _ in range(40):
             began = rig.loop.time()
-            await alone.usage.leave("north")
+            await alone.usage.acquire("north")
             assert rig.loop.time() - began < 0.01
             await asyncio.sleep(0.15)
         rig.links.cut.clear()
         await asyncio.sleep(3.0)
-        assert await alone.usage.leave("north") == 0.0
-        assert not alone.usage.homes.left_out
+        assert await alone.usage.acquire("north") == 0.0
+        assert not alone.usage.homes.unreachable
 
     run(main())
 
@@ -331,7 +335,7 @@
         await self.gone(proxy)
         self.rig.links.dead.discard(proxy.name)
         proxy.usage.buckets.clear()
-        proxy.usage.list_changed()
+        proxy.usage.daemons_changed()
 
     async def frozen(self, proxy):
         """It stands still."""
@@ -364,10 +368,10 @@
 def test_a_planted_break_is_noticed(monkeypatch):
     """The check of windows finds a home that grants whatever is asked."""
 
-    def grant_all(self, workspace, wanted, cap, place):
+    def grant_all(self, workspace, wanted, cap, rank):
         return GrantResponse(call=0, granted=wanted)
 
-    monkeypatch.setattr(UsageLimiter, "count", grant_all)
+    monkeypatch.setattr(UsageLimiter, "grant_as_home", grant_all)
 
     async def main():
         rig = await capped_rig()
