--- a/packages/sessions/gypsum_sessions/daemons/registry.py
+++ b/packages/sessions/gypsum_sessions/daemons/registry.py
@@ -7,7 +7,7 @@
 from gypsum_policy.relays import FEW_DAEMONS, watcher_count
 
 # The watchers' place in the order of daemons; no group has such a name.
-WATCHERS = "\x00watchers"
+WATCHERS_KEY = "\x00watchers"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -41,11 +41,11 @@
         # Looks at daemons that the last whole list lacked.
         self.missing = {}
         self.placement = Placement()
-        self.found = {}
+        self.orders = {}
         # Whether the list is another one than that which was ordered.
         self.changed = True
 
-    def refresh(self):
+    def update_order(self):
         """Order the daemons anew if the list has changed.
 
         What goes wrong when each change orders them: a fleet of hundreds starts, each
@@ -55,31 +55,31 @@
             return
         self.changed = False
         self.placement.update(self.known.values())
-        self.found.clear()
+        self.orders.clear()
 
-    def rejoin(self):
+    def mark_rejoined(self):
         """This daemon was registered before it started."""
         self.rejoined = True
 
     def take_all(self, entries):
         """Take in the whole list; who vanished from it is missing for a while."""
         self.listed = True
-        found = {entry.id: entry for entry in entries}
-        found.setdefault(self.own.id, self.own)
+        by_id = {entry.id: entry for entry in entries}
+        by_id.setdefault(self.own.id, self.own)
         self.missing = {
-            name: self.missing.get(name, 0) for name in self.known.keys() - found
+            name: self.missing.get(name, 0) for name in self.known.keys() - by_id
         }
         kept = {name: self.known[name] for name in self.missing}
-        self.known = kept | found
+        self.known = kept | by_id
         self.changed = True
 
-    def expire(self, looks):
+    def expire(self, checks):
         """One look: returns who was missing in so many, to be dropped.
 
         Looks are counted, not time: a daemon that was suspended has seen no list.
         """
         self.missing = {name: seen + 1 for name, seen in self.missing.items()}
-        return [name for name, seen in self.missing.items() if seen >= looks]
+        return [name for name, seen in self.missing.items() if seen >= checks]
 
     def add(self, entry):
         """A daemon registered, or changed its entry."""
@@ -99,11 +99,11 @@
 
     def order(self, group, length):
         """The first daemons in a group's order; kept until the list changes."""
-        self.refresh()
+        self.update_order()
         key = (group, min(length, len(self.known)))
-        if key not in self.found:
-            self.found[key] = self.placement.order(*key)
-        return self.found[key]
+        if key not in self.orders:
+            self.orders[key] = self.placement.order(*key)
+        return self.orders[key]
 
     def owner_count(self, spec):
         """How many daemons own a group."""
@@ -117,17 +117,17 @@
         """Tell whether this daemon owns a group."""
         return self.own.id in self.owners(spec)
 
-    def place(self, spec):
+    def rank(self, spec):
         """This daemon's place among a group's owners; after them if it is none."""
         owners = self.owners(spec)
         return owners.index(self.own.id) if self.own.id in owners else len(owners)
 
     def watchers(self):
         """The daemons that watch the store."""
-        self.refresh()
+        self.update_order()
         domains = len(self.placement.domains)
         count = watcher_count(len(self.known), domains, self.all_watch_up_to)
-        return self.order(WATCHERS, count)
+        return self.order(WATCHERS_KEY, count)
 
     def watches(self):
         """Tell whether this daemon watches the store itself."""
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -44,7 +44,7 @@
 
     def place(self):
         """This daemon's place among the group's owners."""
-        return self.around.daemons.place(self.group.spec)
+        return self.around.daemons.rank(self.group.spec)
 
     def lost_for(self, delay):
         """Tell whether nobody has led for long enough, and nobody may do so unseen."""
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -149,7 +149,9 @@
         self.links.proxies[name] = proxy
         self.proxies.append(proxy)
         client = CountingClient(store=self.store, daemon=name, counts=self.counts)
-        own_taker = OwnTaker(proxy=proxy, own_name=name, rejoined=proxy.daemons.rejoin)
+        own_taker = OwnTaker(
+            proxy=proxy, own_name=name, rejoined=proxy.daemons.mark_rejoined
+        )
         waker = Waker()
         takers = {
             CONFIG_KIND: (Copy(), 0.0),
@@ -177,7 +179,7 @@
             taker=own_taker,
             log=self.log,
             waker=waker,
-            rejoined=proxy.daemons.rejoin,
+            rejoined=proxy.daemons.mark_rejoined,
         )
         for work in (registrar.run, proxy.relay.run, proxy.following.run):
             proxy.keep_running(work)
