--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -5,7 +5,7 @@
 
 from gypsum_policy.leaving import DrainPlan, share_to_close, takes_new
 from gypsum_sessions.borders import Clock
-from gypsum_sessions.daemons.standins import StandIns
+from gypsum_sessions.daemons.standbys import StandIns
 from gypsum_sessions.replies import SessionState
 
 PART = "drain"
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -18,7 +18,7 @@
     StatementResponse,
 )
 from gypsum_sessions.daemons.peers import PeerLost
-from gypsum_sessions.daemons.standins import STAND_INS
+from gypsum_sessions.daemons.standbys import STAND_INS
 from gypsum_sessions.execution.transactions import aborted
 from gypsum_sessions.replies import Refusal, Reply
 
