--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -5,7 +5,7 @@
 
 from gypsum_policy.leaving import DrainPlan, share_to_close, takes_new
 from gypsum_sessions.borders import Clock
-from gypsum_sessions.daemons.standbys import StandIns
+from gypsum_sessions.daemons.standbys import StandbyOwners
 from gypsum_sessions.replies import SessionState
 
 PART = "drain"
@@ -53,10 +53,10 @@
     proxy.log(PART, "started", callers=len(proxy.callers), links=len(proxy.desks))
     for desk in list(proxy.desks):
         desk.send_leaving()
-    stand_ins = StandIns(proxy=proxy)
+    standbys = StandbyOwners(proxy=proxy)
     listening = True
     while departure.passed < plan.total:
-        stand_ins.look()
+        standbys.notify_standbys()
         if listening and departure.passed >= plan.listen:
             listening = False
             stop_listening()
--- a/packages/sessions/gypsum_sessions/daemons/packing.py
+++ b/packages/sessions/gypsum_sessions/daemons/packing.py
@@ -10,10 +10,10 @@
 from gypsum_policy.relays import PIECE_BYTES
 
 # The fastest level: names of routes differ in a few letters, so more gains little.
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 # A list that unpacks to more than this is none of ours, bytes: the store's objects are
 # a megabyte at most, and the largest lists some thousands of small ones.
-MOST_UNPACKED = 64 << 20
+MAX_UNPACKED = 64 << 20
 
 
 class PackingError(ValueError):
@@ -22,7 +22,7 @@
 
 def pack(objects):
     """Objects by name as a list of pieces, each at most PIECE_BYTES long."""
-    data = zlib.compress(cbor2.dumps(objects), LEVEL)
+    data = zlib.compress(cbor2.dumps(objects), COMPRESSION_LEVEL)
     return [data[at : at + PIECE_BYTES] for at in range(0, len(data), PIECE_BYTES)]
 
 
@@ -30,7 +30,7 @@
     """Objects by name; raises PackingError."""
     reader = zlib.decompressobj()
     try:
-        data = reader.decompress(b"".join(pieces), MOST_UNPACKED)
+        data = reader.decompress(b"".join(pieces), MAX_UNPACKED)
         objects = cbor2.loads(data)
     except (zlib.error, cbor2.CBORDecodeError, ValueError) as exc:
         raise PackingError(f"no packed list: {exc}") from exc
--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -34,7 +34,7 @@
 
 
 class Relay:
-    """Keeps feeds, and passes their news on to those who follow.
+    """Keeps feeds, and passes their updates on to followers.
 
     `watches` tells whether this daemon is one that watches the store. A feed is
     confirmed for `in_touch_for` seconds after the store's last answer, or for its own
@@ -126,27 +126,27 @@
 
     # What others learn of it
 
-    def publish(self, news):
-        """Send news to all who follow; of those that are too large only that they are.
+    def publish(self, update):
+        """Send an update to all followers; only a heartbeat if it is too large.
 
         Who reads that a feed has changed since what it knows asks the store, or us.
         """
         if not self.followers:
             return
-        data = encode(news)
+        data = encode(update)
         if len(data) > MOST_BYTES:
             data = encode(self.heartbeat())
         self.broadcast(data)
 
     def broadcast(self, data):
         """Send a message to all who follow; forget those whose link is gone."""
-        self.followers = {desk for desk in self.followers if not desk.closed}
-        for desk in self.followers:
-            desk.frames.send(data)
+        self.followers = {handler for handler in self.followers if not handler.closed}
+        for handler in self.followers:
+            handler.frames.send(data)
 
-    def follow(self, desk, revisions):
+    def follow(self, handler, revisions):
         """A daemon follows from the revisions that it knows."""
-        self.followers.add(desk)
+        self.followers.add(handler)
         for name, revision in revisions.items():
             feed = self.feeds.get(name)
             if feed is None or revision >= feed.since:
@@ -156,12 +156,12 @@
             )
             data = encode(whole)
             if len(data) <= MOST_BYTES:
-                desk.frames.send(data)
-        desk.frames.send(encode(self.heartbeat()))
+                handler.frames.send(data)
+        handler.frames.send(encode(self.heartbeat()))
 
-    def unfollow(self, desk):
+    def unfollow(self, handler):
         """A daemon follows no more."""
-        self.followers.discard(desk)
+        self.followers.discard(handler)
 
     def heartbeat(self):
         """Feeds that are in touch with the store, and how far they are known."""
@@ -174,34 +174,34 @@
             watches=self.watches(),
         )
 
-    async def send_whole(self, desk, name):
+    async def send_whole(self, handler, name):
         """Send a feed's whole list in pieces, as fast as the link takes them.
 
         What goes wrong in one go: statements of the same link wait behind it.
         """
-        if (desk, name) in self.sending:
+        if (handler, name) in self.sending:
             return
-        self.sending.add((desk, name))
+        self.sending.add((handler, name))
         try:
-            while not await self.send_pieces(desk, name):
+            while not await self.send_pieces(handler, name):
                 pass
         finally:
-            self.sending.discard((desk, name))
+            self.sending.discard((handler, name))
 
-    async def send_pieces(self, desk, name):
+    async def send_pieces(self, handler, name):
         """Send what is known now; False if it has changed meanwhile."""
         feed = self.feeds.get(name)
         if feed is None:
             return True
         since = feed.since
         for piece in self.packed_pieces(name, feed):
-            while desk.frames.backlog > PIECE_BYTES:
+            while handler.frames.backlog > PIECE_BYTES:
                 await asyncio.sleep(PIECE_PAUSE)
-            if desk.closed or desk not in self.followers:
+            if handler.closed or handler not in self.followers:
                 return True
             if feed.since != since:
                 return False
-            desk.frames.send(encode(piece))
+            handler.frames.send(encode(piece))
         return True
 
     def packed_pieces(self, name, feed):
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -18,7 +18,7 @@
     StatementResponse,
 )
 from gypsum_sessions.daemons.peers import PeerLost
-from gypsum_sessions.daemons.standbys import STAND_INS
+from gypsum_sessions.daemons.standbys import CANDIDATES_PER_OWNER
 from gypsum_sessions.execution.transactions import aborted
 from gypsum_sessions.replies import Refusal, Reply
 
@@ -26,7 +26,7 @@
 # An owner answers a statement by its deadline; the way back takes a little longer.
 ANSWER_MARGIN = 0.15
 # Pause before the owners are asked once more, seconds: they may just be starting.
-ROUND_PAUSE = 0.05
+ROUND_INTERVAL = 0.05
 
 
 class RemoteAccess:
@@ -43,11 +43,11 @@
 
     async def read(self, job):
         """Run a read; it is asked again at another owner when one fails."""
-        return await self.run(job, repeats=True)
+        return await self.run(job, repeatable=True)
 
     async def write(self, job):
         """Run a write; only one that never left is asked again."""
-        return await self.run(job, repeats=False)
+        return await self.run(job, repeatable=False)
 
     def begin(self, *, route, writes, arrived):
         """A transaction that its first statement opens at an owner."""
@@ -55,7 +55,7 @@
             access=self, route=route, writes=writes, arrived=arrived
         )
 
-    async def run(self, job, *, repeats):
+    async def run(self, job, *, repeatable):
         """Ask the owners in turn until one has an answer, for most of the time left.
 
         None if no helper had one: nothing was written then.
@@ -67,17 +67,19 @@
         until = clock() + job.left(clock) * self.around.tuning.leader_wait_share
         asked_all = False
         while True:
-            reply = await self.run_round(job, repeats=repeats, asked_all=asked_all)
+            reply = await self.run_round(
+                job, repeatable=repeatable, asked_all=asked_all
+            )
             if reply is not None:
                 return reply
             if self.helpers:
                 return None
             asked_all = True
-            if clock() + ROUND_PAUSE >= until:
+            if clock() + ROUND_INTERVAL >= until:
                 return no_owner(job, self.around.tuning)
-            await asyncio.sleep(ROUND_PAUSE)
+            await asyncio.sleep(ROUND_INTERVAL)
 
-    async def run_round(self, job, *, repeats, asked_all):
+    async def run_round(self, job, *, repeatable, asked_all):
         """Ask each owner once; the first reply, None if nobody could run it."""
         unable = 0
         for name in self.owners(job.workspace):
@@ -85,28 +87,28 @@
                 break
             try:
                 link = await self.peers.link(name, job.left(self.around.clock))
-                if not repeats:
+                if not repeatable:
                     await link.check_alive()
-                answer = await self.ask(
+                answer = await self.request(
                     link, job, last_resort=self.last_resort(name, asked_all, unable)
                 )
             except PeerLost as exc:
-                self.note_lost(job, name, exc)
+                self.log_owner_lost(job, name, exc)
                 if exc.sent:
                     job.may_have_run = True
                     job.leftovers.add(
                         asyncio.create_task(asyncio.sleep(job.left(self.around.clock)))
                     )
-                if exc.sent and not repeats:
+                if exc.sent and not repeatable:
                     return in_doubt(exc)
                 continue
-            self.note_unfinished(job, link, answer)
+            self.track_unfinished_read(job, link, answer)
             if not answer.unable:
-                return take(job, answer)
+                return record_response(job, answer)
             unable += 1
         return None
 
-    def note_unfinished(self, job, link, answer):
+    def track_unfinished_read(self, job, link, answer):
         """Keep in mind that a read may still run at its owner."""
         if answer.unfinished:
             ending = link.wait_read_ended(answer.call, answer.unfinished)
@@ -123,10 +125,10 @@
             return self.helpers
         daemons = self.around.daemons
         count = daemons.owner_count(self.spec)
-        names = daemons.order(self.spec.name, count * STAND_INS)
+        names = daemons.order(self.spec.name, count * CANDIDATES_PER_OWNER)
         return self.peers.ask_order(names, count, self.spec.name, workspace)
 
-    async def ask(self, link, job, **how):
+    async def request(self, link, job, **fields):
         """Ask one owner; raises PeerLost. `how` are fields of Ask."""
         job.owner = link.peer
         left = job.left(self.around.clock)
@@ -143,13 +145,13 @@
                 if_led=bool(self.helpers),
                 hears_ends=True,
                 credential=job.credential,
-                **how,
+                **fields,
             ),
             self.peers.pace(link.peer, self.spec.name),
             timeout=left + ANSWER_MARGIN,
         )
 
-    def note_lost(self, job, name, exc):
+    def log_owner_lost(self, job, name, exc):
         """Log an owner that gave no answer."""
         job.tried.append(name)
         self.around.log(
@@ -174,50 +176,50 @@
     values_set: bool = False
     link: object = None
     number: int = 0
-    over: bool = False
+    closed: bool = False
 
     async def run(self, job):
         """Run a statement; anything but success has rolled it back."""
         self.wrote = self.wrote or job.statement.writes
         try:
-            answer = await self.ask(job)
+            answer = await self.request(job)
         except PeerLost as exc:
             await self.close()
-            self.access.note_lost(job, exc.peer, exc)
+            self.access.log_owner_lost(job, exc.peer, exc)
             return aborted(str(exc))
-        reply = take(job, answer)
+        reply = record_response(job, answer)
         if not reply.ok:
-            self.over = True
+            self.closed = True
         return reply
 
     async def commit(self, job):
         """COMMIT; without an answer it is in doubt if anything was written."""
         try:
-            answer = await self.ask(job)
+            answer = await self.request(job)
         except PeerLost as exc:
-            self.access.note_lost(job, exc.peer, exc)
+            self.access.log_owner_lost(job, exc.peer, exc)
             return in_doubt(exc) if exc.sent and self.wrote else aborted(str(exc))
         finally:
-            self.over = True
-        return take(job, answer)
+            self.closed = True
+        return record_response(job, answer)
 
-    async def ask(self, job):
+    async def request(self, job):
         """Ask the owner of this transaction; raises PeerLost."""
-        if self.over:
+        if self.closed:
             raise PeerLost("it is over", step="ask", peer="", sent=False)
         if self.link is None:
             return await self.open(job)
-        return await self.ask_owner(job)
+        return await self.request_owner(job)
 
-    async def ask_owner(self, job, **how):
+    async def request_owner(self, job, **fields):
         """Ask the owner whose link this transaction has; raises PeerLost."""
-        return await self.access.ask(
+        return await self.access.request(
             self.link,
             job,
             transaction=self.number,
             opens_writing=self.writes,
             values_set=self.values_set,
-            **how,
+            **fields,
         )
 
     async def open(self, job):
@@ -234,7 +236,7 @@
             if answer is not None:
                 return answer
             asked_all = True
-            await asyncio.sleep(ROUND_PAUSE)
+            await asyncio.sleep(ROUND_INTERVAL)
         raise PeerLost("no owner is able", step="open", peer="", sent=False)
 
     async def open_round(self, job, asked_all):
@@ -243,17 +245,17 @@
         for name in self.access.owners(job.workspace):
             if not self.access.peers.accepts_transactions(name):
                 continue
-            if not await self.take_link(job, name):
+            if not await self.use_link(job, name):
                 continue
             last_resort = self.access.last_resort(name, asked_all, unable)
-            answer = await self.ask_owner(job, first=True, last_resort=last_resort)
+            answer = await self.request_owner(job, first=True, last_resort=last_resort)
             if not answer.unable:
                 return answer
             unable += 1
             self.link = None
         return None
 
-    async def take_link(self, job, name):
+    async def use_link(self, job, name):
         """Take the link to an owner if it works; tell whether it does."""
         try:
             link = await self.access.peers.link(
@@ -261,19 +263,19 @@
             )
             await link.check_alive()
         except PeerLost as exc:
-            self.access.note_lost(job, name, exc)
+            self.access.log_owner_lost(job, name, exc)
             return False
         self.link, self.number = link, link.next_number()
         return True
 
     async def close(self):
         """Tell the owner that it is over; a broken link has told it already."""
-        if self.link is not None and not self.over:
+        if self.link is not None and not self.closed:
             self.link.send_message(EndTransaction(transaction=self.number))
-        self.over = True
+        self.closed = True
 
 
-def take(job, answer: StatementResponse):
+def record_response(job, answer: StatementResponse):
     """Note on a job what its answer tells; returns the reply."""
     job.tried.extend(answer.tried)
     job.served_by = answer.served_by
--- a/packages/sessions/gypsum_sessions/daemons/warmlinks.py
+++ b/packages/sessions/gypsum_sessions/daemons/warmlinks.py
@@ -12,11 +12,11 @@
 
 # Seconds between two looks; one link is opened at each, so that owners that have just
 # started are not met by the whole fleet at once.
-LOOK_EVERY = 0.25
+CHECK_INTERVAL = 0.25
 # Daemons that start serve their callers first, seconds.
-BEGIN_AFTER = 2.0
+START_DELAY = 2.0
 # A daemon that lives opens a link within a few milliseconds.
-LINK_TIME = 0.4
+LINK_TIMEOUT = 0.4
 
 
 class WarmLinks:
@@ -45,13 +45,13 @@
 
     async def run(self):
         """Open what is missing, one link at a time, for ever."""
-        await asyncio.sleep(BEGIN_AFTER)
+        await asyncio.sleep(START_DELAY)
         while True:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(CHECK_INTERVAL)
             missing = self.missing()
             if not missing:
                 continue
             try:
-                await self.peers.link(missing[0], LINK_TIME)
+                await self.peers.link(missing[0], LINK_TIMEOUT)
             except PeerLost:
                 continue
--- a/tests/sessions/test_warm_links.py
+++ b/tests/sessions/test_warm_links.py
@@ -3,12 +3,12 @@
 import asyncio
 
 from gypsum_sessions.daemons import warmlinks
-from gypsum_sessions.daemons.warmlinks import BEGIN_AFTER
+from gypsum_sessions.daemons.warmlinks import START_DELAY
 from tests.sessions.owners import owners_rig
 from tests.sessions.vclock import run
 
 # Seconds in which all links are open: one each quarter of a second.
-SOON = BEGIN_AFTER + 2.0
+SOON = START_DELAY + 2.0
 
 
 def test_links_to_owners_are_open_before_the_first_statement():
