--- a/packages/sessions/gypsum_sessions/daemons/__init__.py
+++ b/packages/sessions/gypsum_sessions/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Other daemons: who they are, statements by way of owners, news of the store."""
+"""Daemon registry, links between daemons, remote statements and store feeds."""
--- a/packages/sessions/gypsum_sessions/daemons/feedfollower.py
+++ b/packages/sessions/gypsum_sessions/daemons/feedfollower.py
@@ -1,6 +1,7 @@
-"""Following a daemon that watches the store: news of it, and whole lists on demand.
+"""Follows a daemon that watches the store: feed updates, and whole lists on request.
 
-Who watches the store itself follows as well while the store does not answer it.
+A daemon that watches the store itself also follows another watcher while the store does
+not answer it.
 """
 
 import asyncio
@@ -26,21 +27,22 @@
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "relay"
-# Pause before another watcher is looked for, seconds.
+# Seconds between checks of the watcher, and before another one is tried.
 CHECK_INTERVAL = 0.2
-# A daemon that knows less than its watcher for this long says so, seconds: news of
-# small changes are taken in within milliseconds.
+# A daemon that knows less than its watcher for this long logs it, seconds; small
+# changes are normally applied within milliseconds.
 LOG_BEHIND_AFTER = 1.0
 
 
 @dataclass(slots=True, kw_only=True)
 class WatchedFeed:
-    """A feed as this daemon and its watcher know it.
+    """State of one feed at this daemon and at its watcher.
 
-    `known` is the revision up to which this daemon has taken it in. `state` is what the
-    watcher reports, None if it is not in touch with the store. `waiting` news are
-    not taken in yet, `pieces` of a whole list belong to the revision `pieces_of`, and
-    one was `asked_at` then. `behind_since` is None for a daemon that is not behind.
+    `known` is the revision up to which this daemon has applied the feed. `state` is
+    what the watcher reports, None if the watcher has not confirmed the feed with the
+    store. `pending` updates are not applied yet. `pieces` of a whole list belong to
+    `pieces_revision`; the list was requested at `requested_at`. `behind_since` is None
+    while this daemon is not behind.
     """
 
     known: int = 0
@@ -57,14 +59,14 @@
 
     @property
     def confirmed_state(self):
-        """The watcher's state, None if it is of an earlier era than what is known."""
+        """The watcher's state, None if its era is older than that of `known`."""
         if self.state is None or era_of(self.state.revision) < era_of(self.known):
             return None
         return self.state
 
     @property
     def behind(self):
-        """Tell whether the watcher has changes that this daemon lacks."""
+        """Whether the watcher has changes that this daemon lacks."""
         state = self.confirmed_state
         if state is None:
             return False
@@ -74,11 +76,11 @@
 
     @property
     def ahead(self):
-        """Tell whether this daemon knows a later revision than the watcher."""
+        """Whether this daemon knows a later revision than the watcher."""
         return self.state is not None and self.known > self.state.revision
 
     def clear_watcher_state(self):
-        """Nothing that a watcher has sent counts any more."""
+        """Discard everything received from a watcher."""
         self.state = None
         self.pending.clear()
         self.pieces.clear()
@@ -86,7 +88,7 @@
 
 
 class FeedFollower:
-    """Follows one watcher at a time, a near one that is in touch if there is one."""
+    """Follows one watcher at a time, preferably a near one with confirmed feeds."""
 
     def __init__(self, *, daemons, peers, clock, log):
         self.daemons = daemons
@@ -97,28 +99,28 @@
         self.heard_at = float("-inf")
         self.chosen_at = float("-inf")
         self.excluded_until = {}
-        # Whether the one that is followed watches the store, by its own word.
+        # Whether the followed daemon reports that it watches the store.
         self.is_watcher = True
         self.feeds = {}
         self.changed = asyncio.Event()
 
-    # What the feeds of this daemon tell
+    # State of this daemon's feeds
 
     def feed(self, name):
-        """A feed as it stands."""
+        """Return the state of a feed, created on first use."""
         return self.feeds.setdefault(name, WatchedFeed())
 
     def set_known_revision(self, name, revision):
-        """This daemon has taken a feed in up to a revision."""
+        """Record that this daemon has applied a feed up to a revision."""
         self.feed(name).known = revision
 
     def store_lost(self, name):
-        """The store does not answer for a feed: a watcher has to."""
+        """Record that the store does not answer for a feed, and use a watcher."""
         self.feed(name).store_unreachable = True
         self.request_list(name)
 
     def store_recovered(self, name):
-        """The store answers for a feed."""
+        """Record that the store answers for a feed again."""
         self.feed(name).store_unreachable = False
 
     def needs_watcher(self):
@@ -127,17 +129,17 @@
             feed.store_unreachable for feed in self.feeds.values()
         )
 
-    # What they ask
+    # Queries by this daemon's feeds
 
     def is_up_to_date(self, name):
-        """Tell whether this daemon has all that a watcher in touch knows of a feed."""
+        """Tell whether this daemon has all changes that the watcher has confirmed."""
         if self.link is None or self.clock() - self.heard_at > SILENT_AFTER:
             return False
         feed = self.feed(name)
         return feed.confirmed_state is not None and not feed.behind
 
     def age(self, name):
-        """Seconds since a watcher vouched for all that is known; None if none does."""
+        """Seconds since a watcher confirmed what is known here; None without one."""
         return self.clock() - self.heard_at if self.is_up_to_date(name) else None
 
     def behind(self, name):
@@ -145,14 +147,14 @@
         return self.feed(name).behind
 
     def has_updates(self, name):
-        """Tell whether there are news that can be taken in."""
+        """Tell whether there are updates that can be applied."""
         self.drop_stale_updates(name)
         return bool(self.feed(name).pending)
 
     async def wait_for_list(self, name, seconds):
-        """Wait for a list that was asked for; tell whether there are news.
+        """Wait for a requested list; tell whether there are updates.
 
-        Ends early if the watcher is gone.
+        Returns early if the watcher is lost.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
@@ -166,9 +168,9 @@
         return self.has_updates(name)
 
     async def next_update(self, name, until=None):
-        """The next news of a feed; None once no watcher vouches for it any more.
+        """Return a feed's next update; None once no watcher confirms the feed.
 
-        Also None from the loop's time `until` on, if it is given.
+        Also returns None from the event loop's time `until` on, if it is given.
         """
         loop = asyncio.get_running_loop()
         while True:
@@ -188,7 +190,11 @@
                 continue
 
     def pop_update(self, name):
-        """News that follow on what is known, or that nothing has changed; or None."""
+        """Return the next applicable update, or None.
+
+        If nothing has changed up to a later revision, this is an empty update to that
+        revision.
+        """
         feed = self.feed(name)
         self.drop_stale_updates(name)
         if feed.pending:
@@ -201,13 +207,13 @@
         return None
 
     def drop_stale_updates(self, name):
-        """Drop news that are old, or that have a gap between them and what is known."""
+        """Drop updates that are old or do not follow on the known revision."""
         feed = self.feed(name)
         while feed.pending and not is_applicable(feed.pending[0], feed.known):
             feed.pending.pop(0)
 
     def request_list(self, name):
-        """Ask the watcher for a feed's whole list, unless it is on its way."""
+        """Request a feed's whole list from the watcher unless one is on its way."""
         feed, now = self.feed(name), self.clock()
         if (
             self.link is None
@@ -225,10 +231,10 @@
         )
         self.link.send_message(FetchList(feed=name))
 
-    # From the link
+    # Messages from the link
 
     def handle_update(self, message):
-        """News of a feed came: it has changed, up to their revision."""
+        """Store an update of a feed that the watcher has sent."""
         self.heard_at = self.clock()
         feed = self.feed(message.feed)
         feed.pending.append(message)
@@ -236,7 +242,7 @@
         self.notify_waiters()
 
     def handle_heartbeat(self, message):
-        """The watcher says which feeds are in touch, and how far they are known."""
+        """Record which feeds the watcher has confirmed, and up to which revision."""
         self.heard_at = self.clock()
         self.is_watcher = message.watches
         for name, feed in self.feeds.items():
@@ -246,7 +252,7 @@
         self.notify_waiters()
 
     def handle_piece(self, message):
-        """A piece of a whole list came; the last one completes it."""
+        """Store a piece of a whole list; the last piece completes it."""
         self.heard_at = self.clock()
         feed = self.feed(message.feed)
         if feed.pieces_revision != message.revision:
@@ -274,14 +280,14 @@
         self.notify_waiters()
 
     def notify_waiters(self):
-        """Wake who waits for news."""
+        """Wake the tasks that wait for updates."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    # Who is followed
+    # Choice of the watcher
 
     async def run(self):
-        """Follow a watcher, another one when it is of no use, for ever."""
+        """Follow a watcher, and switch when it is silent or unusable; runs forever."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
             self.log_behind()
@@ -296,16 +302,16 @@
                 await self.choose_watcher()
 
     def watcher_is_silent(self):
-        """Tell whether the watcher is gone or has not been heard of."""
+        """Tell whether the watcher's link is unusable or silent for too long."""
         return not self.link.usable or self.clock() - self.heard_at > SILENT_AFTER
 
     def watcher_is_unusable(self):
-        """Tell whether the watcher is not in touch for a feed that is needed of it.
+        """Tell whether the watcher has not confirmed a feed that is needed from it.
 
-        What goes wrong without it: the store turns the watcher away as well, another
-        one has a newer configuration, and nobody asks it. One that says that it does
-        not watch is left at once: a daemon that starts with others knows some of them,
-        and takes the first of these for watchers.
+        Without this check, a daemon keeps an old configuration if the store also
+        rejects its watcher, although another watcher has a newer one. A daemon that
+        reports that it does not watch is left at once: a starting daemon knows only
+        some of the others and takes the first of these for watchers.
         """
         if not self.is_watcher:
             return True
@@ -320,7 +326,7 @@
         return any(feed.confirmed_state is None for feed in needed)
 
     def unfollow(self):
-        """Follow nobody; what was passed on and not taken is forgotten."""
+        """Stop following, and discard updates that were not applied."""
         if self.link is None:
             return
         self.link.follower = None
@@ -331,7 +337,7 @@
         self.notify_waiters()
 
     async def choose_watcher(self):
-        """Follow the first watcher that can be reached and may be of use."""
+        """Follow the first watcher that can be reached and is not excluded."""
         watchers, now = self.daemons.watchers(), self.clock()
         for name in self.peers.ask_order(watchers, len(watchers)):
             if now < self.excluded_until.get(name, now):
@@ -352,13 +358,13 @@
             self.log(PART, "following", watcher=name)
             return
 
-    # What on-call sees
+    # Logging
 
     def log_behind(self):
-        """Say which feeds the watcher knows more of than this daemon has taken in.
+        """Log the feeds of which this daemon lacks changes that the watcher has.
 
-        What goes wrong without it: a daemon serves by an old configuration, and nothing
-        in its logs or metrics tells it from one that is up to date.
+        Without this, neither logs nor metrics distinguish a daemon that uses an old
+        configuration from one that is up to date.
         """
         now = self.clock()
         for name, feed in self.feeds.items():
@@ -394,7 +400,7 @@
 
 
 def is_applicable(update, known):
-    """Tell whether news can be taken in by who knows their feed up to a revision."""
+    """Tell whether an update can be applied to a feed known up to a revision."""
     if update.whole:
         return update.revision > known
     return continues(known, update.since, update.revision)
--- a/packages/sessions/gypsum_sessions/daemons/homes.py
+++ b/packages/sessions/gypsum_sessions/daemons/homes.py
@@ -1,6 +1,7 @@
-"""The daemons that count for workspaces: who they are, and which of them answer.
+"""The daemons that enforce the caps of workspaces, and which of them are reachable.
 
-One that does not answer is left out until it answers a question that nobody waits for.
+A home that does not answer is skipped until it answers a probe; no caller's operation
+waits for that probe.
 """
 
 import asyncio
@@ -10,25 +11,28 @@
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "usage"
-# A home that lives answers within a few milliseconds; one whose share of a processor is
-# used up within a tenth of a second. Seconds.
+# A live home answers within a few milliseconds, and within 0.1 s when its CPU quota is
+# used up. Seconds.
 ANSWER_TIMEOUT = 0.15
-# One that stands in asks those before it for no longer than this, seconds.
+# A standby waits no longer than this for each home before it, seconds.
 FORWARD_TIMEOUT = 0.06
-# A home that gave no answer is tried again this often, seconds.
+# Time between probes of an unreachable home, seconds.
 PROBE_INTERVAL = 0.5
-# A daemon that has heard none of the others for this long asks whether it is cut off.
+# A daemon that has heard from no other one for this long checks whether it is isolated,
+# seconds.
 HEARD_TIMEOUT = 0.5
-# One that has heard none for this long may have been away, seconds: in a fleet with
-# traffic each hears another one several times a second.
+# A daemon that has heard from none for this long may have been suspended or isolated,
+# seconds: in a fleet with traffic each daemon hears from another one several times a
+# second.
 ABSENT_AFTER = 1.0
 NO_CAP = Cap(rate=0.0, burst=0.0)
 
 
 class Homes:
-    """Each workspace's homes in their order, and questions to them.
+    """Each workspace's homes in order, and requests to them.
 
-    `returned` is called when this daemon hears others again after it has heard none.
+    `reconnected` is called when this daemon hears from others again after it has heard
+    from none for `ABSENT_AFTER`.
     """
 
     def __init__(self, *, daemons, peers, catalog, clock, log, reconnected):
@@ -38,9 +42,9 @@
         self.clock = clock
         self.log = log
         self.reconnected = reconnected
-        # Homes that do not answer, each with the task that looks for it.
+        # Homes that do not answer, each with the task that probes it.
         self.unreachable = {}
-        # The group whose owners count for a workspace, of the groups in force.
+        # Cached group whose owners are a workspace's homes.
         self.group_of = {}
         self.groups = frozenset()
         self.version = -1
@@ -48,15 +52,15 @@
         self.heard_at = clock()
 
     def close(self):
-        """Look for homes no more."""
+        """Stop probing unreachable homes."""
         for task in list(self.unreachable.values()):
             task.cancel()
 
     def for_workspace(self, workspace):
-        """The daemons that count for a workspace, the first one unless it is away.
+        """Return a workspace's homes; the first one counts unless it is unreachable.
 
-        They own a group, the same one for a workspace: to owners there are links
-        anyway. Without a group any daemon may count.
+        They are owners of one group, always the same one for a workspace, because links
+        to owners are open anyway. Without a group any daemon may count.
         """
         self.refresh()
         if workspace not in self.group_of:
@@ -66,7 +70,7 @@
         return [*found[turn:], *found[:turn]]
 
     def refresh(self):
-        """Forget whose owners count if there are other groups than before."""
+        """Clear the cached choice of groups if the set of groups has changed."""
         if self.version == self.catalog.version:
             return
         self.version = self.catalog.version
@@ -75,12 +79,15 @@
             self.groups, self.group_of = groups, {}
 
     def rank(self, workspace):
-        """This daemon's place among a workspace's homes; after them if it is none."""
+        """This daemon's index among a workspace's homes; their number if it is none."""
         homes, own = self.for_workspace(workspace), self.daemons.own.id
         return homes.index(own) if own in homes else len(homes)
 
     async def request(self, name, make, *, timeout=ANSWER_TIMEOUT):
-        """The answer of one home to the question formed for a number; None without."""
+        """Send a home the request that `make` forms for a call number.
+
+        Returns its answer, or None without one.
+        """
         if name in self.unreachable:
             return None
         try:
@@ -93,10 +100,10 @@
         return answer
 
     def mark_unreachable(self, name, exc):
-        """Ask a home no more until it answers again.
+        """Skip a home until it answers a probe.
 
-        What goes wrong when callers ask again now and then: on a daemon that is cut off
-        some operation waits in vain for each home every second.
+        If callers' operations were used to retry it, on an isolated daemon some
+        operation would wait in vain for each home every second.
         """
         if name in self.unreachable:
             return
@@ -106,7 +113,7 @@
         task.add_done_callback(lambda _: self.unreachable.pop(name, None))
 
     async def probe_until_reachable(self, name):
-        """Wait until a daemon answers again, or is not known any more."""
+        """Probe a daemon until it answers or is removed from the registry."""
         while self.daemons.get(name) is not None:
             await asyncio.sleep(PROBE_INTERVAL)
             try:
@@ -119,10 +126,10 @@
             return
 
     async def is_connected(self, workspace):
-        """Tell whether this daemon hears any other one.
+        """Tell whether this daemon hears from any other one.
 
-        What goes wrong without it: a home that is cut off counts for its own callers,
-        and whoever stands in for it for all others: together they grant the cap twice.
+        Without this check, an isolated home grants to its own callers while a standby
+        grants to all others: together they grant the cap twice.
         """
         if len(self.daemons.known) == 1:
             return True
@@ -141,12 +148,16 @@
         return False
 
     def record_heard(self, at):
-        """Another daemon was heard then; what others granted may have passed us by."""
+        """Record when another daemon was last heard.
+
+        After a long silence `reconnected` is called, since others may have granted
+        operations meanwhile.
+        """
         before, self.heard_at = self.heard_at, max(self.heard_at, at)
         if self.heard_at - before >= ABSENT_AFTER:
             self.reconnected()
 
 
 def empty_request(call):
-    """A question that only wants an answer."""
+    """A request for no operations, used as a probe."""
     return GrantRequest(call=call, workspace="", wanted=0, cap=NO_CAP)
--- a/packages/sessions/gypsum_sessions/daemons/packing.py
+++ b/packages/sessions/gypsum_sessions/daemons/packing.py
@@ -1,6 +1,6 @@
-"""Lists of objects in pieces that a slow link carries beside statements.
+"""Packs lists of objects into pieces that can share a slow link with statements.
 
-Packed, a configuration of 1,600 routes is a tenth of its size.
+Packing shrinks a configuration of 1,600 routes to a tenth of its size.
 """
 
 import zlib
@@ -9,31 +9,32 @@
 
 from gypsum_policy.relays import PIECE_BYTES
 
-# The fastest level: names of routes differ in a few letters, so more gains little.
+# The fastest level: route names differ in a few letters only, so that higher levels
+# gain little.
 COMPRESSION_LEVEL = 1
-# A list that unpacks to more than this is none of ours, bytes: the store's objects are
-# a megabyte at most, and the largest lists some thousands of small ones.
+# Lists that unpack to more than this are rejected, bytes: an object of the store has a
+# megabyte at most, and the largest lists consist of some thousands of small objects.
 MAX_UNPACKED = 64 << 20
 
 
 class PackingError(ValueError):
-    """Pieces that are no packed list."""
+    """Raised for pieces that do not form a packed list."""
 
 
 def pack(objects):
-    """Objects by name as a list of pieces, each at most PIECE_BYTES long."""
+    """Pack objects by name into a list of pieces of at most PIECE_BYTES each."""
     data = zlib.compress(cbor2.dumps(objects), COMPRESSION_LEVEL)
     return [data[at : at + PIECE_BYTES] for at in range(0, len(data), PIECE_BYTES)]
 
 
 def unpack(pieces):
-    """Objects by name; raises PackingError."""
+    """Return the packed objects by name; raises PackingError."""
     reader = zlib.decompressobj()
     try:
         data = reader.decompress(b"".join(pieces), MAX_UNPACKED)
         objects = cbor2.loads(data)
     except (zlib.error, cbor2.CBORDecodeError, ValueError) as exc:
-        raise PackingError(f"no packed list: {exc}") from exc
+        raise PackingError(f"invalid packed list: {exc}") from exc
     if not reader.eof or not isinstance(objects, dict):
-        raise PackingError("no packed list")
+        raise PackingError("invalid packed list")
     return objects
--- a/packages/sessions/gypsum_sessions/daemons/peermessages.py
+++ b/packages/sessions/gypsum_sessions/daemons/peermessages.py
@@ -1,8 +1,9 @@
-"""Messages between daemons, as CBOR: statements to owners, news of the store.
+"""Messages between daemons, encoded as CBOR: statement requests and feed updates.
 
-Fields go by their place. A new one comes last and has a default, for daemons of two
-versions talk to each other while a fleet is rolled; one in the middle closes the links
-between them, and what was on its way is in doubt.
+Fields are encoded by position. Add a new field at the end and give it a default, since
+daemons of two versions exchange messages during a rolling upgrade. A field added in the
+middle makes messages undecodable, which closes the links and leaves requests in flight
+in doubt.
 """
 
 import cbor2
@@ -17,20 +18,21 @@
 
 
 class MessageError(ValueError):
-    """Bytes that are no message between daemons."""
+    """Raised for bytes that are not a valid message between daemons."""
 
 
 class StatementRequest(Struct, frozen=True, kw_only=True, array_like=True, tag="ask"):
-    """Run a caller's statement.
-
-    `call` numbers the question on its link. `left` is the time in seconds that the
-    statement still has: clocks of two instances can't be compared. `transaction` is
-    the number of the transaction on this link that it belongs to, 0 outside; its
-    `first` statement opens it, for writing if `opens_writing`. `values_set`: the caller
-    has set a value inside it, which its end undoes. `if_led`: only from an owner that
-    has proven a primary. `last_resort`: others were asked and could not. `hears_ends`:
-    who asks wants to be told when a read that is answered runs nowhere any more.
-    `credential` is what the caller was let in with.
+    """Request to run a caller's statement.
+
+    `call` identifies the request on its link. `left` is the time in seconds that the
+    statement still has; a duration, since the clocks of two instances can't be
+    compared. `transaction` is the number of its transaction on this link, 0 outside of
+    one; the `first` statement opens it, for writing if `opens_writing`. `values_set`:
+    the caller has set a value inside the transaction, which the end of the transaction
+    undoes. `if_led`: run it only on an owner that has proven a primary. `last_resort`:
+    the other owners were tried and could not run it. `hears_ends`: the sender wants a
+    `ReadEnded` once an answered read no longer runs anywhere. `credential` is what the
+    caller authenticated with.
     """
 
     call: int
@@ -54,13 +56,13 @@
 class StatementResponse(
     Struct, frozen=True, kw_only=True, array_like=True, tag="answer"
 ):
-    """The whole reply to one question.
+    """Complete response to one statement request.
 
-    `role` tells whether the leader or a replica ran it. For `unfinished` seconds it may
-    still run at another upstream that was asked as well; `ReadEnded` follows. `queue`
-    is the time in seconds that those before it would have taken, where that was too
-    long. `unable`: nothing ran, and the fault is this owner's, so that another one may
-    well be able.
+    `role` tells whether the leader or a replica ran it. For up to `unfinished` seconds
+    the read may still run at another upstream that it was sent to as well; `ReadEnded`
+    follows. `queue` is the estimated queueing time in seconds if the statement was
+    refused because of it. `unable`: nothing ran, for a reason that concerns this owner
+    only, so another owner may be able to run it.
     """
 
     call: int
@@ -76,7 +78,7 @@
 
 
 class ReadEnded(Struct, frozen=True, kw_only=True, array_like=True, tag="read ended"):
-    """A read that was answered as unfinished runs nowhere any more."""
+    """A read that was answered as unfinished no longer runs anywhere."""
 
     call: int
 
@@ -88,23 +90,23 @@
 
 
 class Leaving(Struct, frozen=True, kw_only=True, array_like=True, tag="leaving"):
-    """The owner drains: ask another one from now on.
+    """The owner is draining: send new requests to another one.
 
-    The first word on each link that is opened to one that drains. For `opens_for`
-    seconds it still opens transactions, if nobody else can.
+    It is the first message on each link to a draining daemon. For `opens_for` seconds
+    the owner still opens transactions that no other daemon can open.
     """
 
     opens_for: float = 0.0
 
 
 class ServeGroup(Struct, frozen=True, kw_only=True, array_like=True, tag="take up"):
-    """Be ready to own a group: those that own it leave."""
+    """Prepare to own a group because all of its owners are draining."""
 
     group: str
 
 
 class LeaderRequest(Struct, frozen=True, kw_only=True, array_like=True, tag="leads?"):
-    """When have you proven a group's primary?"""
+    """Ask when the receiver last proved a group's primary."""
 
     call: int
     group: str
@@ -118,9 +120,9 @@
 
 
 class GrantRequest(Struct, frozen=True, kw_only=True, array_like=True, tag="leave?"):
-    """May so many operations of a workspace begin?
+    """Request permission to begin a number of operations of a workspace.
 
-    `cap` is the one that the asking daemon knows, `forwarded` says that it was itself
+    `cap` is the cap known to the requesting daemon. `forwarded`: that daemon was itself
     asked by another one.
     """
 
@@ -132,7 +134,7 @@
 
 
 class GrantResponse(Struct, frozen=True, kw_only=True, array_like=True, tag="leave"):
-    """So many may; the next one after `wait` seconds."""
+    """Number of operations granted; the next one may begin after `wait` seconds."""
 
     call: int
     granted: int
@@ -140,19 +142,19 @@
 
 
 class Follow(Struct, frozen=True, kw_only=True, array_like=True, tag="follow"):
-    """Pass on what is new in some feeds, after the revisions that are known."""
+    """Subscribe to updates of feeds, starting after the given known revisions."""
 
     revisions: dict[str, int]
 
 
 class Unfollow(Struct, frozen=True, kw_only=True, array_like=True, tag="unfollow"):
-    """Pass on nothing any more."""
+    """Cancel the subscription to feed updates."""
 
 
 class FeedUpdate(Struct, frozen=True, kw_only=True, array_like=True, tag="news"):
-    """What is new in a feed up to a revision: objects by name, and those removed.
+    """Changes of a feed up to a revision: changed objects by name, and removed names.
 
-    All changes after `since` are in it. If it is `whole` there are no other objects.
+    It contains all changes after `since`. If it is `whole`, no other objects exist.
     """
 
     feed: str
@@ -164,16 +166,17 @@
 
 
 class FeedState(Struct, frozen=True, kw_only=True, array_like=True):
-    """How far a feed is known: up to `revision`, with no change after `since`."""
+    """A feed is known up to `revision`; its last change was at `since`."""
 
     since: int
     revision: int
 
 
 class Heartbeat(Struct, frozen=True, kw_only=True, array_like=True, tag="current"):
-    """Feeds for which the sender is in touch with the store.
+    """Feeds that the sender has confirmed with the store.
 
-    One that does not watch the store is of no use to who follows it.
+    `watches` tells whether the sender watches the store; otherwise it is of no use to a
+    follower.
     """
 
     feeds: dict[str, FeedState]
@@ -181,7 +184,7 @@
 
 
 class FetchList(Struct, frozen=True, kw_only=True, array_like=True, tag="fetch"):
-    """Send a feed's whole list, however large."""
+    """Request a feed's whole list, whatever its size."""
 
     feed: str
 
@@ -217,13 +220,13 @@
 
 
 def encode(message):
-    """A message as bytes."""
+    """Encode a message to bytes."""
     return cbor2.dumps(to_builtins(message, builtin_types=(bytes,)))
 
 
 def decode(data):
-    """A message from bytes; raises MessageError for what is none."""
+    """Decode a message; raises MessageError for invalid bytes."""
     try:
         return convert(cbor2.loads(data), type=Message, builtin_types=(bytes,))
     except (cbor2.CBORDecodeError, ValidationError, ValueError, TypeError) as exc:
-        raise MessageError(f"no message: {exc}") from exc
+        raise MessageError(f"invalid message: {exc}") from exc
