--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -1,7 +1,8 @@
-"""Links to other daemons, and what becomes of questions to one that is silent.
+"""Links to other daemons, and the handling of requests on silent links.
 
-A link is silent when a probe on it is not answered while questions wait. It is closed
-then, and all its questions are lost at once; the owner drops what it had of the link.
+A link is silent if a probe on it is not answered while requests are pending. It is then
+closed, and all of its requests fail at once; the owner discards what the link held
+there.
 """
 
 import asyncio
@@ -28,19 +29,19 @@
 PART = "peers"
 # Opening a link takes three round trips between failure domains, under 10 ms.
 DIAL_TIMEOUT = 0.4
-# A daemon that could not be reached is left alone for this long, seconds, doubling.
+# Delay before an unreachable daemon is dialled again, seconds, doubling.
 BACKOFF_MIN = 0.1
 BACKOFF_MAX = 2.0
-# Probes are answered within a few milliseconds; a daemon whose share of a processor is
-# used up is silent for a tenth of a second at a time.
+# Probes are answered within a few milliseconds; a daemon whose CPU quota is used up is
+# silent for 0.1 s at a time.
 PROBE_TIMEOUT = 0.6
 PROBE_INTERVAL = 0.15
-# Before work that must not be repeated a link is tried that has been quiet for longer.
+# Before non-repeatable work, a link that has been idle for longer is probed.
 IDLE_PROBE_AFTER = 0.25
 
 
 class PeerLost(Exception):
-    """A daemon gave no answer; `sent` is False if it provably got no question."""
+    """A daemon gave no answer; `sent` is False if it provably got no request."""
 
     def __init__(self, message, *, step, peer, sent):
         super().__init__(f"{step}: {peer}: {message}")
@@ -50,13 +51,13 @@
 
 
 class FrameReceiver(Protocol):
-    """Who gets what arrives on a link."""
+    """Receives what arrives on a link."""
 
     def frame_received(self, data: bytes) -> None:
-        """One message came."""
+        """Handle one message."""
 
     def link_lost(self, why: str) -> None:
-        """The link is gone."""
+        """Handle the loss of the link."""
 
 
 class FrameLink(Protocol):
@@ -67,7 +68,7 @@
     backlog: int
 
     def send(self, data: bytes) -> bool:
-        """Send a message in turn; False if the link takes no more."""
+        """Queue a message for sending; False if the link accepts no more."""
 
     async def probe(self, timeout: float) -> bool:
         """Tell whether the other end answers in time."""
@@ -82,18 +83,18 @@
     async def dial(
         self, address: str, receiver: FrameReceiver, *, timeout: float
     ) -> FrameLink:
-        """Open a link; raises OSError if that fails."""
+        """Open a link; raises OSError on failure."""
 
 
 class PeerLink:
-    """This daemon's questions to one other."""
+    """This daemon's requests to one other daemon, over one link."""
 
     def __init__(self, *, peer, clock):
         self.peer = peer
         self.clock = clock
         self.frames = None
         self.pending = {}
-        # Reads that were answered and may still run there, by the question's number.
+        # Answered reads that may still run at the peer, by request number.
         self.unfinished_reads = {}
         self.last_number = 0
         self.heard_at = clock()
@@ -106,7 +107,7 @@
     # FrameReceiver
 
     def frame_received(self, data):
-        """An answer, news, or the word that the other daemon leaves."""
+        """Handle a response, a feed update, or the notice that the peer is draining."""
         self.heard_at = self.clock()
         try:
             message = decode(data)
@@ -133,31 +134,31 @@
             self.follower.handle_piece(message)
 
     def link_lost(self, why):
-        """The link is gone, and all that waits with it."""
+        """Record that the link is closed, and fail all pending requests."""
         self.close_reason = self.close_reason or why
         pending, self.pending = self.pending, {}
         for fut in pending.values():
             if not fut.done():
                 fut.set_exception(self.lost_error("ask", sent=True))
 
-    # Questions
+    # Requests
 
     @property
     def usable(self):
-        """Tell whether new work may go over it."""
+        """Tell whether new work may be sent over the link."""
         return not self.close_reason and not self.draining
 
     def next_number(self):
-        """A number that no other question or transaction of this link has."""
+        """A number that no other request or transaction of this link has."""
         self.last_number += 1
         return self.last_number
 
     def lost_error(self, step, *, sent):
-        """The error of a question on a link that is gone."""
+        """The error of a request on a closed link."""
         return PeerLost(self.close_reason, step=step, peer=self.peer, sent=sent)
 
     async def wait_read_ended(self, call, seconds):
-        """Wait until a read that was answered runs nowhere, or its time is over."""
+        """Wait until an answered read no longer runs anywhere, or until a timeout."""
         ended = self.unfinished_reads.get(call)
         if ended is None:
             return
@@ -168,10 +169,10 @@
             self.unfinished_reads.pop(call, None)
 
     async def timed_request(self, make, pace, *, timeout):
-        """Ask, and note how long the answer took; raises PeerLost.
+        """Send a request and record how long its answer took; raises PeerLost.
 
-        An answer that declines the work counts as long as its sender says that it would
-        have taken; without one the time that was waited counts.
+        If the peer refuses because of its queue, the queueing time that it reports is
+        recorded; without an answer the time spent waiting is.
         """
         began, token = self.clock(), object()
         pace.asked(token, began)
@@ -190,10 +191,10 @@
         return answer
 
     async def check_alive(self):
-        """Make sure that the other end is there; raises PeerLost.
+        """Check that the other end answers; raises PeerLost.
 
-        What goes wrong without it: something between two daemons has forgotten an idle
-        link, and a write on it is in doubt although it never arrived.
+        Without this check, a write on an idle connection that something on the path has
+        dropped is in doubt although it never arrived.
         """
         if self.clock() - self.heard_at < IDLE_PROBE_AFTER:
             return
@@ -204,7 +205,7 @@
         raise self.lost_error("try", sent=False)
 
     async def request(self, make: Callable, *, timeout):
-        """Send the question that `make` forms for its number; raises PeerLost."""
+        """Send the request that `make` forms for its number; raises PeerLost."""
         if self.close_reason:
             raise self.lost_error("ask", sent=False)
         call = self.next_number()
@@ -226,12 +227,12 @@
             self.pending.pop(call, None)
 
     def send_message(self, message):
-        """Send what needs no answer; a link that is gone needs it no more."""
+        """Send a message that needs no answer; dropped if the link is closed."""
         if not self.close_reason:
             self.frames.send(encode(message))
 
     async def run_watchdog(self):
-        """Close the link if it is silent while questions wait."""
+        """Close the link if it is silent while requests are pending."""
         while self.pending and not self.close_reason:
             await asyncio.sleep(PROBE_INTERVAL)
             if not self.pending or self.close_reason:
@@ -242,7 +243,7 @@
             self.heard_at = self.clock()
 
     def close(self, why):
-        """Give the link up."""
+        """Close the link and fail its requests."""
         if self.frames is not None:
             self.frames.close()
         self.link_lost(why)
@@ -250,7 +251,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class DialBackoff:
-    """A daemon that could not be reached: until when and how long it is left alone."""
+    """Backoff of a daemon that could not be reached.
+
+    No dial before `until`; `pause` is the current delay in seconds, and `since` the
+    time of the first failure.
+    """
 
     until: float
     pause: float
@@ -258,7 +263,7 @@
 
 
 class Peers:
-    """This daemon's links to owners of groups, opened when there is work for them."""
+    """This daemon's links to other daemons, opened when there is work for them."""
 
     def __init__(self, *, dialer, daemons, clock, log):
         self.dialer = dialer
@@ -268,50 +273,51 @@
         self.links = {}
         self.dials = {}
         self.backoffs = {}
-        # How fast each daemon answers in each group.
+        # Response times by daemon and group.
         self.paces = {}
 
     def avoided(self, name):
-        """Tell whether others are asked before a daemon."""
+        """Tell whether other daemons are tried before this one."""
         return self.is_draining(name) or name in self.backoffs
 
     def is_draining(self, name):
-        """Tell whether a daemon said that it leaves.
+        """Tell whether a daemon has said that it is draining.
 
-        It says so on each of its links, so that one without the word is of a process
-        that has started since.
+        A draining daemon says so first on each of its links. So an open link without
+        that notice belongs to a process that is not draining, such as one restarted
+        since.
         """
         link = self.links.get(name)
         return link is not None and not link.close_reason and link.draining
 
     def is_linked(self, name):
-        """Tell whether there is a link to a daemon."""
+        """Tell whether there is an open link to a daemon."""
         link = self.links.get(name)
         return link is not None and not link.close_reason
 
     def accepts_transactions(self, name):
-        """Tell whether a daemon may open a transaction, as far as we know.
+        """Tell whether a daemon may open a transaction, as far as is known here.
 
-        What goes wrong without it: where all that could have just started or leave, one
-        that leaves is asked as it ends, and the statement is lost on the way.
+        Without this check, when all other candidates are draining or just starting, a
+        draining owner is asked while its process ends, and the statement is lost.
         """
         return (
             not self.is_draining(name) or self.clock() < self.links[name].accepts_until
         )
 
     def expected(self, name, group):
-        """Seconds that a daemon's answers take in a group; None if not known."""
+        """Expected latency of a daemon's answers in a group, seconds, or None."""
         pace = self.paces.get((name, group))
         return pace.expected(self.clock()) if pace is not None else None
 
     def pace(self, name, group):
-        """How fast a daemon answers in a group; it outlives the link."""
+        """Response times of a daemon in a group; kept when the link closes."""
         return self.paces.setdefault((name, group), Pace())
 
     def ask_order(self, names, owners, group="", workspace=""):
-        """Other daemons of a group's order in the turn in which we ask them.
+        """Order the other daemons of a group by preference for requests.
 
-        The first `owners` of the names own; see `owners_to_ask`.
+        The first `owners` names are the group's owners; see `owners_to_ask`.
         """
         own = self.daemons.own
         views = [
@@ -328,12 +334,12 @@
         return owners_to_ask(views, owners=owners, daemon=own.id, workspace=workspace)
 
     def unreachable_for(self, name):
-        """Seconds for which a daemon could not be reached, 0 if it could lately."""
+        """Seconds for which a daemon has been unreachable, 0 if it has not."""
         found = self.backoffs.get(name)
         return self.clock() - found.since if found else 0.0
 
     async def link(self, name, timeout):
-        """A link to a daemon, opened if there is none; raises PeerLost."""
+        """Return a link to a daemon, opened if there is none; raises PeerLost."""
         link = self.links.get(name)
         if link is not None and not link.close_reason:
             return link
@@ -352,7 +358,7 @@
         except asyncio.CancelledError:
             if not dial.cancelled():
                 raise
-            # We stop: who waits for the dial is told so, and not cancelled itself.
+            # This daemon is stopping: the dial was cancelled, not the task that waits.
             raise PeerLost("given up", step="dial", peer=name, sent=False) from None
 
     async def dial(self, name):
@@ -372,13 +378,13 @@
         return link
 
     def dial_finished(self, name, task):
-        """A dial ended; who waited for it has its outcome."""
+        """Remove a finished dial; its waiters have its result."""
         self.dials.pop(name, None)
         if not task.cancelled():
             task.exception()
 
     def back_off(self, name):
-        """Leave a daemon alone that could not be reached, longer each time."""
+        """Record that a daemon could not be reached, and double its dial delay."""
         now, found = self.clock(), self.backoffs.get(name)
         if found is None:
             self.log(PART, "daemon not reached", peer=name)
@@ -389,16 +395,16 @@
         )
 
     def remove(self, name):
-        """A daemon's entry is gone."""
+        """Discard the link and state of a daemon that is no longer registered."""
         self.paces = {key: pace for key, pace in self.paces.items() if key[0] != name}
         self.backoffs.pop(name, None)
         link = self.links.pop(name, None)
         if link is not None:
-            link.close("not registered any more")
+            link.close("no longer registered")
 
     def close(self):
         """Close all links."""
         for dial in self.dials.values():
             dial.cancel()
         for link in self.links.values():
-            link.close("closed here")
+            link.close("closed by this daemon")
--- a/packages/sessions/gypsum_sessions/daemons/registry.py
+++ b/packages/sessions/gypsum_sessions/daemons/registry.py
@@ -1,4 +1,4 @@
-"""The daemons known to run, and which of them own which group."""
+"""The known daemons, and which of them own which group."""
 
 from dataclasses import dataclass
 
@@ -6,15 +6,15 @@
 from gypsum_policy.ownership import connection_share, owner_count
 from gypsum_policy.relays import FEW_DAEMONS, watcher_count
 
-# The watchers' place in the order of daemons; no group has such a name.
+# Placement key that selects the watchers; no group can have this name.
 WATCHERS_KEY = "\x00watchers"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DaemonEntry:
-    """A daemon as it is registered: `link` is where others reach it, `host:port`.
+    """A registered daemon; other daemons reach it at `link`, `host:port`.
 
-    `revision` is the store's revision of its entry, 0 for one that is not there.
+    `revision` is the store's revision of its entry, 0 if it has none.
     """
 
     id: str
@@ -24,32 +24,31 @@
 
 
 class DaemonRegistry:
-    """All known daemons, this one included, in one order for each group.
+    """All known daemons, this one included, ordered separately for each group.
 
-    Up to `all_watch_up_to` of them all watch the store.
-    `listed` says that the list has been read: before, this daemon would take itself for
-    the owner of everything.
+    Up to `all_watch_up_to` daemons all watch the store. `listed` says that the list has
+    been read; before that, this daemon would consider itself the owner of every group.
     """
 
     def __init__(self, *, own, all_watch_up_to=FEW_DAEMONS):
         self.own = own
         self.all_watch_up_to = all_watch_up_to
         self.listed = False
-        # Whether this daemon had an entry from before its start.
+        # Whether this daemon had an entry before its start.
         self.rejoined = False
         self.known = {own.id: own}
-        # Looks at daemons that the last whole list lacked.
+        # Number of checks in which each missing daemon was not on the list.
         self.missing = {}
         self.placement = Placement()
         self.orders = {}
-        # Whether the list is another one than that which was ordered.
+        # Whether the list has changed since the order was computed.
         self.changed = True
 
     def update_order(self):
-        """Order the daemons anew if the list has changed.
+        """Recompute the order of the daemons if the list has changed.
 
-        What goes wrong when each change orders them: a fleet of hundreds starts, each
-        daemon hears of all others one by one, and none has time for anything else.
+        Doing this on each change would take up all CPU time while a fleet of hundreds
+        starts, since each daemon hears of all others one by one.
         """
         if not self.changed:
             return
@@ -58,11 +57,11 @@
         self.orders.clear()
 
     def mark_rejoined(self):
-        """This daemon was registered before it started."""
+        """Record that this daemon was registered before it started."""
         self.rejoined = True
 
     def take_all(self, entries):
-        """Take in the whole list; who vanished from it is missing for a while."""
+        """Replace the list; daemons that are not on it stay known as missing."""
         self.listed = True
         by_id = {entry.id: entry for entry in entries}
         by_id.setdefault(self.own.id, self.own)
@@ -74,31 +73,32 @@
         self.changed = True
 
     def expire(self, checks):
-        """One look: returns who was missing in so many, to be dropped.
+        """Count one check; returns the daemons to remove, missing in `checks` checks.
 
-        Looks are counted, not time: a daemon that was suspended has seen no list.
+        Checks are counted rather than time, because a daemon that was suspended has
+        seen no list meanwhile.
         """
         self.missing = {name: seen + 1 for name, seen in self.missing.items()}
         return [name for name, seen in self.missing.items() if seen >= checks]
 
     def add(self, entry):
-        """A daemon registered, or changed its entry."""
+        """Add a daemon or replace its entry."""
         self.known[entry.id] = entry
         self.missing.pop(entry.id, None)
         self.changed = True
 
     def discard(self, name):
-        """A daemon's entry was removed; our own place is kept."""
+        """Remove a daemon's entry; this daemon's own is kept."""
         self.missing.pop(name, None)
         if name != self.own.id and self.known.pop(name, None) is not None:
             self.changed = True
 
     def get(self, name):
-        """A daemon's entry, or None."""
+        """Return a daemon's entry, or None."""
         return self.known.get(name)
 
     def order(self, group, length):
-        """The first daemons in a group's order; kept until the list changes."""
+        """The first daemons in a group's order; cached until the list changes."""
         self.update_order()
         key = (group, min(length, len(self.known)))
         if key not in self.orders:
@@ -106,11 +106,11 @@
         return self.orders[key]
 
     def owner_count(self, spec):
-        """How many daemons own a group."""
+        """Number of daemons that own a group."""
         return owner_count(len(self.known), spec.max_connections)
 
     def owners(self, spec):
-        """The daemons that own a group, in its order."""
+        """The daemons that own a group, in the group's order."""
         return self.order(spec.name, self.owner_count(spec))
 
     def owns(self, spec):
@@ -118,7 +118,7 @@
         return self.own.id in self.owners(spec)
 
     def rank(self, spec):
-        """This daemon's place among a group's owners; after them if it is none."""
+        """This daemon's index among a group's owners; their number if it is none."""
         owners = self.owners(spec)
         return owners.index(self.own.id) if self.own.id in owners else len(owners)
 
--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -1,6 +1,6 @@
-"""News of the store, passed on from a daemon that watches it to those that follow.
+"""Relays feed updates from a daemon that watches the store to its followers.
 
-A feed is one kind of objects, named by a word; its objects are passed on as they are.
+A feed is one kind of objects; the objects are relayed unchanged.
 """
 
 import asyncio
@@ -20,10 +20,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class RelayedFeed:
-    """What a watcher knows of a feed: its objects by name, and how far.
+    """A watcher's copy of a feed: objects by name, and revisions.
 
-    It is known up to `revision`, and has not changed since `since`. `touched_at` is
-    when the store last answered; `pieces` is the packed list, made when asked for.
+    It is known up to `revision`, and has not changed since `since`. `answered_at` is
+    when the store last answered. `pieces` is the packed list, built on first request.
     """
 
     objects: dict = field(default_factory=dict)
@@ -34,11 +34,11 @@
 
 
 class Relay:
-    """Keeps feeds, and passes their updates on to followers.
+    """Keeps feeds, and sends their updates to followers.
 
-    `watches` tells whether this daemon is one that watches the store. A feed is
-    confirmed for `in_touch_for` seconds after the store's last answer, or for its own
-    time in `limits`.
+    `watches` tells whether this daemon watches the store. A feed is confirmed for
+    `in_touch_for` seconds after the store's last answer, or for its own time in
+    `confirmation_times`.
     """
 
     def __init__(self, *, clock, in_touch_for, watches):
@@ -50,41 +50,41 @@
         self.followers = set()
         self.sending = set()
 
-    # What this daemon learns of the store
+    # State received from the store
 
     def set_confirmation_time(self, name, seconds):
-        """Confirm a feed for so long after the store's last answer."""
+        """Set for how long a feed is confirmed after the store's last answer."""
         self.confirmation_times[name] = seconds
 
     def is_confirmed(self, name, feed):
-        """Tell whether the store has answered for a feed lately."""
+        """Tell whether the store has answered for a feed recently."""
         limit = self.confirmation_times.get(name, self.in_touch_for)
         return bool(feed.revision) and self.clock() - feed.answered_at < limit
 
     def has_feed(self, name):
-        """Tell whether all of a feed is kept here."""
+        """Tell whether a complete copy of a feed is kept here."""
         return name in self.feeds
 
     def drop_feed(self, name):
-        """This daemon learns of a feed without us: what is kept here is out of date.
+        """Discard a feed that this daemon now gets from elsewhere.
 
-        What goes wrong without it: a daemon follows for a while, watches again, and
-        passes on a list without what changed in between.
+        If the copy were kept, a daemon that follows for a while and then watches again
+        would relay a list without the changes made in between.
         """
         self.feeds.pop(name, None)
 
     def store_answered(self, name):
-        """The store has answered for a feed."""
+        """Record that the store has answered for a feed."""
         if name in self.feeds:
             self.feeds[name].answered_at = self.clock()
 
     def store_unreachable(self, name):
-        """The store did not answer for a feed: nothing is vouched for until it does."""
+        """Mark a feed as unconfirmed until the store answers for it again."""
         if name in self.feeds:
             self.feeds[name].answered_at = float("-inf")
 
     def take_all(self, name, objects, revision):
-        """A whole list came: objects by name."""
+        """Replace a feed by a whole list of objects by name."""
         feed = self.feeds.setdefault(name, RelayedFeed())
         # Followers may know changes of the earlier era that this list lacks.
         same_history = feed.revision and same_era(feed.revision, revision)
@@ -99,7 +99,7 @@
         )
 
     def take_changes(self, name, changed, removed, revision):
-        """Changes came: objects by name, and names of those removed."""
+        """Apply changed objects by name, and names of removed objects."""
         feed = self.feeds[name]
         self.store_answered(name)
         feed.objects.update(changed)
@@ -120,16 +120,17 @@
         )
 
     def mark_changed(self, feed):
-        """A feed is another one since the revision that it is known up to."""
+        """Record that a feed changed at its current revision."""
         feed.since = feed.revision
         feed.pieces = []
 
-    # What others learn of it
+    # Messages to followers
 
     def publish(self, update):
         """Send an update to all followers; only a heartbeat if it is too large.
 
-        Who reads that a feed has changed since what it knows asks the store, or us.
+        A follower that learns from the heartbeat that the feed has changed fetches the
+        list from the watcher or the store.
         """
         if not self.followers:
             return
@@ -139,13 +140,13 @@
         self.broadcast(data)
 
     def broadcast(self, data):
-        """Send a message to all who follow; forget those whose link is gone."""
+        """Send a message to all followers; forget those whose link is closed."""
         self.followers = {handler for handler in self.followers if not handler.closed}
         for handler in self.followers:
             handler.frames.send(data)
 
     def follow(self, handler, revisions):
-        """A daemon follows from the revisions that it knows."""
+        """Add a follower, and send it what changed after the revisions it knows."""
         self.followers.add(handler)
         for name, revision in revisions.items():
             feed = self.feeds.get(name)
@@ -160,11 +161,11 @@
         handler.frames.send(encode(self.heartbeat()))
 
     def unfollow(self, handler):
-        """A daemon follows no more."""
+        """Remove a follower."""
         self.followers.discard(handler)
 
     def heartbeat(self):
-        """Feeds that are in touch with the store, and how far they are known."""
+        """The confirmed feeds, and up to which revision they are known."""
         return Heartbeat(
             feeds={
                 name: FeedState(since=feed.since, revision=feed.revision)
@@ -177,7 +178,7 @@
     async def send_whole(self, handler, name):
         """Send a feed's whole list in pieces, as fast as the link takes them.
 
-        What goes wrong in one go: statements of the same link wait behind it.
+        Sent in one message, it would delay statements on the same link.
         """
         if (handler, name) in self.sending:
             return
@@ -189,7 +190,7 @@
             self.sending.discard((handler, name))
 
     async def send_pieces(self, handler, name):
-        """Send what is known now; False if it has changed meanwhile."""
+        """Send the current list; returns False if the feed changes meanwhile."""
         feed = self.feeds.get(name)
         if feed is None:
             return True
@@ -205,7 +206,7 @@
         return True
 
     def packed_pieces(self, name, feed):
-        """The pieces of a feed's list; all who ask for the same one share them."""
+        """The pieces of a feed's list, shared by all followers that request it."""
         if not feed.pieces:
             parts = pack(feed.objects)
             feed.pieces = [
@@ -221,7 +222,7 @@
         return feed.pieces
 
     async def run(self):
-        """Say which feeds are in touch, for ever."""
+        """Send heartbeats to followers; runs forever."""
         while True:
             await asyncio.sleep(BEAT_EVERY)
             if self.followers:
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -1,10 +1,10 @@
-"""A group whose connections other daemons hold: statements go to one of its owners.
+"""Remote access to a group: statements are sent to one of its owners.
 
-Truth over the hop: a statement that never left, or that an owner says has not run, is
-tried at the next owner. A read is asked again elsewhere when its owner went silent. A
-write or COMMIT that may have left is in doubt. A transaction whose link broke before
-COMMIT was sent is rolled back: its number means nothing on any other link, so no
-COMMIT can reach it any more.
+A statement that was never sent, or that an owner reports as not run, is tried at the
+next owner. A read is sent to another owner if the first one becomes silent. A write or
+COMMIT that may have been sent is in doubt. A transaction whose link breaks before
+COMMIT is sent is rolled back: its number is valid on that link only, so no COMMIT can
+reach it any more.
 """
 
 import asyncio
@@ -23,16 +23,18 @@
 from gypsum_sessions.replies import Refusal, Reply
 
 PART = "remote"
-# An owner answers a statement by its deadline; the way back takes a little longer.
+# An owner answers a statement by its deadline; the response needs a little longer to
+# arrive.
 ANSWER_MARGIN = 0.15
-# Pause before the owners are asked once more, seconds: they may just be starting.
+# Pause between rounds, seconds: the owners may be starting.
 ROUND_INTERVAL = 0.05
 
 
 class RemoteAccess:
-    """A group reached over its owners; `peers` holds the links to them.
+    """Access to a group through its owners; `peers` holds the links to them.
 
-    With `helpers` only those are asked, once, as long as they know of a primary.
+    With `helpers` only these daemons are tried, once, and only while they have a proven
+    primary.
     """
 
     def __init__(self, *, spec, around, peers, helpers=()):
@@ -42,26 +44,26 @@
         self.helpers = helpers
 
     async def read(self, job):
-        """Run a read; it is asked again at another owner when one fails."""
+        """Run a read; it is retried at another owner if one fails."""
         return await self.run(job, repeatable=True)
 
     async def write(self, job):
-        """Run a write; only one that never left is asked again."""
+        """Run a write; it is retried only if it was never sent."""
         return await self.run(job, repeatable=False)
 
     def begin(self, *, route, writes, arrived):
-        """A transaction that its first statement opens at an owner."""
+        """Return a transaction that its first statement opens at an owner."""
         return RemoteTransaction(
             access=self, route=route, writes=writes, arrived=arrived
         )
 
     async def run(self, job, *, repeatable):
-        """Ask the owners in turn until one has an answer, for most of the time left.
+        """Try the owners in rounds until one answers, for most of the time left.
 
-        None if no helper had one: nothing was written then.
+        Returns None if no helper had an answer: nothing was written then.
 
-        What goes wrong when all are asked just once: all daemons come back together,
-        the owners a moment after the others, whose callers are all turned away.
+        With a single round, callers would be refused after a restart of all daemons,
+        because the owners become ready slightly later than the others.
         """
         clock = self.around.clock
         until = clock() + job.left(clock) * self.around.tuning.leader_wait_share
@@ -80,7 +82,7 @@
             await asyncio.sleep(ROUND_INTERVAL)
 
     async def run_round(self, job, *, repeatable, asked_all):
-        """Ask each owner once; the first reply, None if nobody could run it."""
+        """Try each owner once; returns the first reply, None if there is none."""
         unable = 0
         for name in self.owners(job.workspace):
             if job.left(self.around.clock) <= 0:
@@ -109,18 +111,18 @@
         return None
 
     def track_unfinished_read(self, job, link, answer):
-        """Keep in mind that a read may still run at its owner."""
+        """Record that a read may still run at its owner."""
         if answer.unfinished:
             ending = link.wait_read_ended(answer.call, answer.unfinished)
             job.leftovers.add(asyncio.create_task(ending))
 
     def last_resort(self, name, asked_all, unable):
-        """Tell whether an owner has to try although it leaves or has just started."""
+        """Tell whether an owner must run the job even if draining or starting."""
         leaves = self.peers.is_draining(name)
         return is_last_resort(asked_all=asked_all, leaves=leaves, unable=unable)
 
     def owners(self, workspace=""):
-        """Names of the owners to ask for a workspace's work, the best first."""
+        """Names of the owners to try for a workspace's work, the preferred first."""
         if self.helpers:
             return self.helpers
         daemons = self.around.daemons
@@ -129,7 +131,7 @@
         return self.peers.ask_order(names, count, self.spec.name, workspace)
 
     async def request(self, link, job, **fields):
-        """Ask one owner; raises PeerLost. `how` are fields of Ask."""
+        """Send a job to one owner; `fields` of the request. Raises PeerLost."""
         job.owner = link.peer
         left = job.left(self.around.clock)
         return await link.timed_request(
@@ -166,7 +168,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class RemoteTransaction:
-    """A transaction at an owner, tied to the link that its first statement took."""
+    """A transaction at an owner, bound to the link of its first statement."""
 
     access: RemoteAccess
     route: Route
@@ -179,7 +181,7 @@
     closed: bool = False
 
     async def run(self, job):
-        """Run a statement; anything but success has rolled it back."""
+        """Run a statement; any failure has rolled the transaction back."""
         self.wrote = self.wrote or job.statement.writes
         try:
             answer = await self.request(job)
@@ -204,7 +206,7 @@
         return record_response(job, answer)
 
     async def request(self, job):
-        """Ask the owner of this transaction; raises PeerLost."""
+        """Send a statement to this transaction's owner; raises PeerLost."""
         if self.closed:
             raise PeerLost("it is over", step="ask", peer="", sent=False)
         if self.link is None:
@@ -212,7 +214,7 @@
         return await self.request_owner(job)
 
     async def request_owner(self, job, **fields):
-        """Ask the owner whose link this transaction has; raises PeerLost."""
+        """Send a statement over this transaction's link; raises PeerLost."""
         return await self.access.request(
             self.link,
             job,
@@ -223,9 +225,9 @@
         )
 
     async def open(self, job):
-        """Open it with its first statement, at an owner that is able to.
+        """Open the transaction with its first statement, at an owner that is able to.
 
-        Raises PeerLost if there is none, or if the one that was asked is lost.
+        Raises PeerLost if there is none, or if the owner that was tried is lost.
         """
         clock = self.access.around.clock
         share = self.access.around.tuning.leader_wait_share
@@ -240,7 +242,7 @@
         raise PeerLost("no owner is able", step="open", peer="", sent=False)
 
     async def open_round(self, job, asked_all):
-        """Ask each owner once to open it; the first answer, None if nobody could."""
+        """Try each owner once; returns the first answer, None if none could open it."""
         unable = 0
         for name in self.access.owners(job.workspace):
             if not self.access.peers.accepts_transactions(name):
@@ -256,7 +258,7 @@
         return None
 
     async def use_link(self, job, name):
-        """Take the link to an owner if it works; tell whether it does."""
+        """Bind the transaction to an owner's link; tell whether the link works."""
         try:
             link = await self.access.peers.link(
                 name, job.left(self.access.around.clock)
@@ -269,14 +271,14 @@
         return True
 
     async def close(self):
-        """Tell the owner that it is over; a broken link has told it already."""
+        """Tell the owner to roll back; it does so by itself if the link broke."""
         if self.link is not None and not self.closed:
             self.link.send_message(EndTransaction(transaction=self.number))
         self.closed = True
 
 
 def record_response(job, answer: StatementResponse):
-    """Note on a job what its answer tells; returns the reply."""
+    """Record a response on its job; returns the reply."""
     job.tried.extend(answer.tried)
     job.served_by = answer.served_by
     job.role = answer.role
@@ -290,9 +292,10 @@
 
 
 def no_owner(job, tuning):
-    """The refusal of work that no owner answered; nothing of it is kept.
+    """The refusal of a job that no owner answered; it has no lasting effect.
 
-    A read may have run at an owner that went silent since, so that is not denied.
+    A read may have run at an owner that has become silent since, so the detail does not
+    claim that it has not.
     """
     not_run = "" if job.may_have_run else "not run, "
     return Reply(
--- a/packages/sessions/gypsum_sessions/daemons/requesthandler.py
+++ b/packages/sessions/gypsum_sessions/daemons/requesthandler.py
@@ -1,7 +1,8 @@
-"""Statements that other daemons send to this one as an owner of their group.
+"""Serves statements that other daemons send to this one as an owner of their group.
 
-All that a link has is tied to it: when it breaks, its reads are ended and its
-transactions rolled back, for the other daemon has told its callers so.
+Reads and transactions are bound to their link: when it breaks, the reads are cancelled
+and the transactions rolled back, since the other daemon has reported this to its
+callers.
 """
 
 import asyncio
@@ -34,15 +35,15 @@
 from gypsum_sessions.replies import KEY_WITHDRAWN, Refusal, Reply
 
 PART = "owner"
-# Statements of one link that are worked on at once: more than all slots of a group.
+# Statements of one link that run at once: more than all slots of a group.
 MAX_REQUESTS = 300
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class HeldTransaction:
-    """A transaction of another daemon's caller; one statement of it runs at a time.
+    """A transaction of another daemon's caller; it runs one statement at a time.
 
-    `request` is the id of the last one.
+    `request` is the id of the last statement's request.
     """
 
     transaction: Transaction
@@ -52,7 +53,7 @@
 
 
 class PeerRequestHandler:
-    """One other daemon's statements, over one link."""
+    """Serves one other daemon's requests over one link."""
 
     def __init__(self, *, proxy, peer):
         self.proxy = proxy
@@ -71,17 +72,17 @@
     # FrameReceiver
 
     def opened(self, frames):
-        """The link is open; a daemon that leaves says so before anything else.
+        """Take over an open link; a draining daemon sends `Leaving` first.
 
-        What goes wrong without it: a link that is opened after the drain began, or in
-        the place of one that heard of it, brings new work until the process ends.
+        Without this, a link that is opened after the drain began, or that replaces one
+        which had the notice, brings new work until the process ends.
         """
         self.frames = frames
         if self.proxy.departure:
             self.send_leaving()
 
     def frame_received(self, data):
-        """A message came."""
+        """Handle one message."""
         try:
             message = decode(data)
         except MessageError as exc:
@@ -107,7 +108,7 @@
             self.proxy.hosting.serve(message.group)
 
     def link_lost(self, why):
-        """The link is gone: so is all that it had."""
+        """Cancel the link's reads and roll back its transactions."""
         if self.closed:
             return
         self.closed = True
@@ -120,7 +121,7 @@
     # Statements
 
     def accept(self, request):
-        """Start to work on a statement, unless there are too many."""
+        """Start a statement, unless too many are running."""
         if self.closed:
             return
         if len(self.tasks) >= MAX_REQUESTS:
@@ -134,7 +135,7 @@
             task.add_done_callback(self.reads.discard)
 
     def spawn(self, work):
-        """Run a task of this link."""
+        """Start a task that belongs to this link."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -142,7 +143,7 @@
         return task
 
     async def serve(self, request):
-        """Run one statement and answer it."""
+        """Run one statement and send its response."""
         group = self.proxy.hosting.serve(request.route.group)
         unable = self.unable_reason(request, group)
         if unable:
@@ -181,10 +182,10 @@
             self.proxy.spawn(self.send_read_ended(request.call, job.leftovers))
 
     async def refuse_withdrawn_key(self, request):
-        """Refuse a caller whose key counts no more, as we know and who asks does not.
+        """Refuse a caller whose key was withdrawn, which the sender does not know yet.
 
-        What goes wrong without it: a daemon that the store turns away goes on letting
-        in callers whose key was withdrawn.
+        Without this, a daemon that the store rejects goes on admitting callers whose
+        key was withdrawn.
         """
         self.proxy.log(
             PART,
@@ -201,7 +202,7 @@
         return aborted(KEY_WITHDRAWN)
 
     def unable_reason(self, request, group):
-        """Why a statement is left to another daemon; empty if it is run here."""
+        """Why another daemon should run a statement; empty if it is run here."""
         if group is None:
             return "the group is not known here"
         if request.transaction and not request.first:
@@ -216,26 +217,26 @@
         if request.last_resort:
             return ""
         if not group.watch.last_leader:
-            # What goes wrong without it: a daemon that has just started is asked first,
-            # as before, and statements wait for its proof beside owners that have one.
+            # Otherwise a daemon that has just started is tried first, as before its
+            # restart, and statements wait for its proof while other owners have one.
             return "no primary was proven here yet"
         if group.watch.lost_for() > LOST_FOR:
-            # What goes wrong without it: the primary is cut off from one owner, which
-            # waits for the next one; callers come back through other daemons, and all
-            # of these send their workspace's work to the same owner.
+            # Otherwise, when the primary is cut off from one owner that waits for the
+            # next primary, callers that retry through other daemons are all sent to
+            # that owner, since it has their workspace's work.
             return "no primary is proven here any more"
         if not has_connection(request, group):
             return "no connection is free here"
         return ""
 
     async def send_read_ended(self, call, tasks):
-        """Tell when attempts that are not needed any more have ended."""
+        """Report the end of attempts whose result is no longer needed."""
         await asyncio.wait(tasks)
         if not self.closed:
             self.frames.send(encode(ReadEnded(call=call)))
 
     async def run_in_transaction(self, group, request, job):
-        """Run a statement of a transaction, which its first one opens."""
+        """Run a statement of a transaction, which its first statement opens."""
         held = self.transactions.get(request.transaction)
         if held is None:
             if not request.first:
@@ -260,7 +261,7 @@
         return reply
 
     async def run_held_statement(self, held, job):
-        """Run a statement while nothing else touches its transaction."""
+        """Run a statement of a transaction whose lock is held."""
         job.arrived = held.transaction.arrived
         if job.statement.commits:
             held.ended = True
@@ -280,22 +281,22 @@
         self.transactions.pop(number, None)
 
     def send_leader_response(self, request):
-        """Answer when we have last proven a group's primary."""
+        """Report when this daemon last proved a group's primary."""
         group = self.proxy.groups.get(request.group)
         age = group.watch.proof_age() if group is not None else None
         self.respond(LeaderResponse(call=request.call, proof_age=age))
 
     async def send_grant_response(self, request):
-        """Answer whether operations of a workspace may begin."""
+        """Report how many operations of a workspace may begin."""
         answer = await self.proxy.usage.handle_request(request)
         self.respond(replace(answer, call=request.call))
 
     def respond(self, answer):
-        """Send an answer, unless nobody waits for it any more."""
+        """Send a response unless the link is closed."""
         if not self.closed:
             self.frames.send(encode(answer))
 
-    # Leaving
+    # Draining
 
     def send_leaving(self):
         """Ask the other daemon to send new work elsewhere."""
@@ -307,7 +308,7 @@
     def end_idle_transactions(self):
         """Roll back transactions that wait for their callers.
 
-        They stay known as ended: the next statement of one is told so.
+        They stay recorded as ended, so that their next statement gets that answer.
         """
         for held in self.transactions.values():
             if not held.lock.locked() and not held.ended:
@@ -322,9 +323,8 @@
 def has_connection(request, group):
     """Tell whether a statement gets a connection here without a long wait.
 
-    What goes wrong without it: transactions that pause hold all connections of one
-    owner, others wait for them until their deadline, and another owner has some that
-    are idle.
+    Without this check, when idle transactions hold all connections of one owner, others
+    wait for them until their deadline although another owner has idle connections.
     """
     if request.transaction:
         return group.has_connection(writes=request.opens_writing)
@@ -332,17 +332,17 @@
 
 
 def may_run_elsewhere(request, job, reply):
-    """Tell whether another owner should try what this one's queue leaves no time for.
+    """Tell whether to retry at another owner what this owner's queue delays too long.
 
-    What goes wrong without it: callers are refused by the owner that is asked first, on
-    a slow machine perhaps, while others could serve them.
+    Otherwise callers are refused by the owner that is tried first, which may run on a
+    slow machine, while other owners could serve them.
     """
     inside = bool(request.transaction) and not request.first
     return not reply.ok and bool(job.queue) and not request.last_resort and not inside
 
 
 def make_job(request, proxy):
-    """The job of a statement; it counts as arrived now, so no floor is too old."""
+    """Create a statement's job; it arrives now, so that no floor is too old."""
     now = proxy.clock()
     return Job(
         request=request.request,
@@ -358,5 +358,5 @@
 
 
 def not_run(detail):
-    """The reply to a statement that was not begun."""
+    """The reply to a statement that was not started."""
     return Reply(refusal=Refusal.BUSY, detail=f"not run, {detail}")
--- a/packages/sessions/gypsum_sessions/daemons/standbys.py
+++ b/packages/sessions/gypsum_sessions/daemons/standbys.py
@@ -1,21 +1,21 @@
-"""Makes those that come next ready when all owners of a group leave at once."""
+"""Prepares standby owners when all owners of a group drain at once."""
 
 from gypsum_policy.leaving import stand_in
 from gypsum_sessions.daemons.peermessages import ServeGroup
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "drain"
-# Daemons that would own if an owner failed: each owner has one that stands in.
+# Daemons considered for each owner: the owner and one standby.
 CANDIDATES_PER_OWNER = 2
-# A daemon that lives opens a link within a few milliseconds.
+# A live daemon opens a link within a few milliseconds.
 LINK_TIMEOUT = 0.4
 
 
 class StandbyOwners:
-    """Wakes, for each group that this daemon owns, who stands in for it.
+    """Notifies the standby of each group that this daemon owns.
 
-    What goes wrong without it: the first statements after a roll wait for new
-    connections and the proof of a primary, at a daemon that holds nothing.
+    Without this, the first statements after a rolling restart wait for new connections
+    and the proof of a primary, at a daemon that holds neither.
     """
 
     def __init__(self, *, proxy):
@@ -24,21 +24,21 @@
         self.connect_to_owners()
 
     def connect_to_owners(self):
-        """Open links to the other owners: over these they tell that they leave too."""
+        """Open links to the other owners, over which they report that they drain."""
         for group in self.proxy.groups.values():
             for name in self.proxy.daemons.owners(group.spec):
                 if name != self.proxy.name:
                     self.proxy.spawn(self.connect(name))
 
     async def connect(self, name):
-        """Open a link to an owner; one that can't be reached is avoided from now on."""
+        """Open a link to an owner; if it fails, the owner counts as avoided."""
         try:
             await self.proxy.peers.link(name, LINK_TIMEOUT)
         except PeerLost:
             return
 
     def notify_standbys(self):
-        """Wake stand-ins of groups whose owners all leave, each group's once."""
+        """Notify the standbys of groups whose owners all drain, once for each group."""
         for group in self.proxy.groups.values():
             if group.name in self.notified:
                 continue
@@ -48,7 +48,7 @@
                 self.proxy.spawn(self.notify(name, group.name))
 
     def standby_for(self, group):
-        """Who has to be ready to own a group; empty if nobody has to."""
+        """The daemon that must prepare to own a group; empty if none has to."""
         daemons, peers = self.proxy.daemons, self.proxy.peers
         owners = daemons.owner_count(group.spec)
         names = daemons.order(group.name, owners * CANDIDATES_PER_OWNER)
@@ -56,7 +56,7 @@
         return stand_in(names, owners=owners, own=self.proxy.name, away=away)
 
     async def notify(self, name, group):
-        """Ask a daemon to work with a group."""
+        """Ask a daemon to prepare to own a group."""
         try:
             link = await self.proxy.peers.link(name, LINK_TIMEOUT)
         except PeerLost as exc:
--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -1,8 +1,8 @@
-"""Leave for operations: asked of a workspace's home, or counted here as one.
+"""Limits the operations of workspaces, by grants from each workspace's home.
 
-All that wait at a daemon for the same workspace share one question to its home. Where a
-home does not answer the next daemon of the order counts in its place, once it has seen
-for itself that the home is away.
+All operations of a workspace that wait at a daemon share one request to its home. If
+the home does not answer, the next daemon in order grants in its place, after it has
+itself found the home unreachable.
 """
 
 import asyncio
@@ -19,25 +19,25 @@
 from gypsum_sessions.daemons.homes import ANSWER_TIMEOUT, FORWARD_TIMEOUT, PART, Homes
 from gypsum_sessions.daemons.peermessages import GrantRequest, GrantResponse
 
-# A stand-in that was not asked for this long starts anew, seconds: the home has counted
-# meanwhile.
+# A standby that was not asked for this long starts with a new bucket, seconds: the home
+# has granted operations meanwhile.
 STALE_AFTER = 1.0
-# Operations that one question asks for, at most.
+# Maximum number of operations in one request.
 MAX_BATCH = 200
-# The shortest wait that a refusal tells, seconds: none would say that it may run.
+# Shortest wait that a refusal returns, seconds: 0 means that the operation may run.
 MIN_WAIT = 0.001
 
 
 @dataclass(slots=True, kw_only=True)
 class OutcomeCounts:
-    """What became of a workspace's operations at this daemon."""
+    """Numbers of a workspace's operations granted and refused at this daemon."""
 
     granted: int = 0
     refused: int = 0
 
 
 class UsageLimiter:
-    """Asks leave for callers of this daemon, and grants it where this one counts."""
+    """Requests grants for this daemon's callers, and grants operations as a home."""
 
     def __init__(self, *, daemons, peers, catalog, clock, log):
         self.daemons = daemons
@@ -55,7 +55,7 @@
         # When this daemon may have become the home of any workspace.
         self.candidate_since = clock()
         self.buckets = {}
-        # What this daemon grants by itself while it reaches no home.
+        # Buckets of what this daemon grants while it reaches no home.
         self.isolated_buckets = {}
         self.waiters = {}
         self.request_tasks = {}
@@ -63,14 +63,15 @@
         self.outcomes = {}
 
     def daemons_changed(self):
-        """The list of daemons is another one: so may be the homes."""
+        """Record that the list of daemons changed, and with it perhaps the homes."""
         self.candidate_since = self.clock()
 
     def reconnected(self):
-        """This daemon has heard no other one for a while; somebody counted meanwhile.
+        """Discard grant history after hearing no other daemon for a while.
 
-        What goes wrong without it: a home that was cut off, or stood still, comes back
-        with a full bucket beside what its stand-in has granted.
+        A standby may have granted operations meanwhile. Without this, a home that was
+        cut off or suspended comes back with a full bucket in addition to what its
+        standby has granted.
         """
         now = self.candidate_since = self.clock()
         for bucket in self.buckets.values():
@@ -80,7 +81,7 @@
     # For this daemon's callers
 
     async def acquire(self, workspace):
-        """Ask leave for one operation: 0 if it may run, else the seconds to wait."""
+        """Request one operation; returns 0 if it may run, else the seconds to wait."""
         if self.catalog.cap(workspace) is None:
             return 0.0
         wait = self.refused_until.get(workspace, 0.0) - self.clock()
@@ -90,7 +91,7 @@
         return wait
 
     async def join_batch(self, workspace):
-        """Wait for the answer to the next question about a workspace."""
+        """Wait for the answer to the next request for a workspace."""
         fut = asyncio.get_running_loop().create_future()
         self.waiters.setdefault(workspace, []).append(fut)
         if workspace not in self.request_tasks:
@@ -99,7 +100,7 @@
         return await fut
 
     async def request_batches(self, workspace):
-        """Ask for all that wait, and again for those that came meanwhile."""
+        """Send requests for all waiting operations until none are left."""
         waiters = []
         try:
             while waiters := self.waiters.pop(workspace, []):
@@ -108,7 +109,7 @@
                 )
                 self.resolve(workspace, waiters, answer)
         finally:
-            # Should asking fail in a way that nobody thought of, nobody waits for ever.
+            # On an unexpected error too, no waiter is left pending.
             del self.request_tasks[workspace]
             left = waiters + self.waiters.pop(workspace, [])
             self.resolve(
@@ -116,7 +117,7 @@
             )
 
     def resolve(self, workspace, waiters, answer):
-        """Let those run that have leave, and refuse the others."""
+        """Let the granted operations run, and refuse the others."""
         live = [fut for fut in waiters if not fut.done()]
         for fut in live[: answer.granted]:
             fut.set_result(0.0)
@@ -127,7 +128,7 @@
             self.refused_until[workspace] = self.clock() + pause
 
     def record_outcome(self, workspace, wait):
-        """Keep count, and log the first refusal and the first leave after one."""
+        """Count an outcome; log the first refusal, and the end of refusals."""
         outcome = self.outcomes.setdefault(workspace, OutcomeCounts())
         if not wait:
             outcome.granted += 1
@@ -144,12 +145,13 @@
                 wait_ms=round(wait * 1000),
             )
 
-    # Questions to homes, and those of others
+    # Requests to homes, and requests of other daemons
 
     async def request_grant(self, workspace, wanted, *, cap=None, forwarded=False):
-        """Ask the homes in turn; a LeaveAnswer, of our own count if we come next.
+        """Ask the homes in order; returns a GrantResponse.
 
-        `cap` is that of another daemon which asks us, `forwarded` that it did.
+        If this daemon is next in order, it grants the operations itself. `cap` and
+        `forwarded` are set for another daemon's request.
         """
         cap = self.newer_cap(workspace, cap)
         if cap is None:
@@ -179,10 +181,11 @@
         return self.grant_isolated(workspace, wanted, cap)
 
     async def handle_request(self, request):
-        """Answer another daemon's question.
+        """Answer another daemon's request.
 
-        Whoever is not the home by its own list asks who is, unless it was asked as one
-        by a daemon that did so: two that disagree would ask each other for ever.
+        A daemon that is not the home by its own list asks the one that is, unless the
+        request was already forwarded to it: two daemons that disagree would otherwise
+        forward it to each other forever.
         """
         self.homes.record_heard(self.clock())
         if not request.wanted:
@@ -198,16 +201,16 @@
         )
 
     def newer_cap(self, workspace, cap):
-        """The newer of another daemon's cap for a workspace and ours."""
+        """The newer of another daemon's cap for a workspace and this daemon's."""
         own = self.catalog.cap(workspace)
         if cap is None or (own is not None and own.version >= cap.version):
             return own
         return cap
 
-    # Counting
+    # Granting
 
     def grant_as_home(self, workspace, wanted, cap, rank):
-        """Grant as home; with a `place` above 0 in the place of one that is away."""
+        """Grant as home; with a `rank` above 0 as standby for an unreachable home."""
         now = self.clock()
         if rank:
             cap = stand_in_cap(cap)
@@ -219,7 +222,7 @@
         return grant(bucket, cap, wanted, now)
 
     def grant_isolated(self, workspace, wanted, cap):
-        """Grant what a daemon may that reaches no home."""
+        """Grant the share of a daemon that reaches no home."""
         now, part = self.clock(), lone_cap(cap, len(self.daemons.known))
         bucket = self.isolated_buckets.get(workspace)
         if bucket is None:
@@ -230,7 +233,7 @@
 
 
 def grant(bucket, cap, wanted, now):
-    """What a bucket grants by a cap, as an answer."""
+    """Take operations from a bucket under a cap; returns a GrantResponse."""
     bucket.change(cap, now)
     granted = bucket.take(wanted, now)
     return GrantResponse(call=0, granted=granted, wait=bucket.wait())
--- a/packages/sessions/gypsum_sessions/daemons/warmlinks.py
+++ b/packages/sessions/gypsum_sessions/daemons/warmlinks.py
@@ -1,8 +1,8 @@
-"""Links to owners, opened before the first statement needs them.
+"""Opens links to owners before the first statement needs them.
 
-Where many daemons share a little work each sees a statement for an owner once in many
-seconds, and the first one waits for the link: three round trips, and a turn of two
-busy loops each.
+Where many daemons share little work, each has a statement for a given owner only once
+in many seconds. Without a warm link the first one waits for the link to open: three
+round trips, with two busy event loops on the way each time.
 """
 
 import asyncio
@@ -10,17 +10,17 @@
 from gypsum_policy.ownership import MOST_WARM
 from gypsum_sessions.daemons.peers import PeerLost
 
-# Seconds between two looks; one link is opened at each, so that owners that have just
-# started are not met by the whole fleet at once.
+# Seconds between checks; each opens one link, so that the whole fleet does not connect
+# at once to owners that have just started.
 CHECK_INTERVAL = 0.25
-# Daemons that start serve their callers first, seconds.
+# A starting daemon serves its callers first, seconds.
 START_DELAY = 2.0
-# A daemon that lives opens a link within a few milliseconds.
+# A live daemon opens a link within a few milliseconds.
 LINK_TIMEOUT = 0.4
 
 
 class WarmLinks:
-    """Keeps links to the owners of all groups open, where these are few."""
+    """Keeps links to the owners of all groups open, if there are few owners."""
 
     def __init__(self, *, catalog, daemons, peers):
         self.catalog = catalog
@@ -28,7 +28,7 @@
         self.peers = peers
 
     def missing(self):
-        """Owners to which there is no link; none where the owners are many."""
+        """Owners without an open link; none if there are too many owners."""
         groups = self.catalog.current.groups if self.catalog.current else {}
         if len(groups) > MOST_WARM:
             return []
@@ -44,7 +44,7 @@
         )
 
     async def run(self):
-        """Open what is missing, one link at a time, for ever."""
+        """Open missing links, one at a time; runs forever."""
         await asyncio.sleep(START_DELAY)
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
