--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -146,7 +146,10 @@
             handler.frames.send(data)
 
     def follow(self, handler, revisions):
-        """Add a follower, and send it what changed after the revisions it knows."""
+        """Add a follower, and send it the feeds that changed after the given revisions.
+
+        Lists that are too large are left out; the follower requests them.
+        """
         self.followers.add(handler)
         for name, revision in revisions.items():
             feed = self.feeds.get(name)
--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -67,7 +67,7 @@
         self.candidate_since = self.clock()
 
     def reconnected(self):
-        """Discard grant history after hearing no other daemon for a while.
+        """Cap the tokens of all buckets after hearing no other daemon for a while.
 
         A standby may have granted operations meanwhile. Without this, a home that was
         cut off or suspended comes back with a full bucket in addition to what its
