--- a/tests/sessions/fakelinks.py
+++ b/tests/sessions/fakelinks.py
@@ -1,17 +1,18 @@
-"""Links between daemons in virtual time: delays, cuts, silence, frozen daemons."""
+"""Links between daemons in virtual time, with delays, partitions and frozen daemons."""
 
 import asyncio
 
-# One way between two daemons, seconds.
+# One-way delay between two daemons, seconds.
 ONE_WAY_DELAY = 0.0005
 
 
 class FakeLinks:
-    """All links of a rig; `frozen` daemons neither read nor answer.
+    """All links of a rig.
 
-    `rate` is how many bytes a second each daemon can send, 0 for any number.
-    Between the two of each pair in `cut` everything is lost, and nobody is told.
-    `slow` daemons take so many seconds for each message that they read.
+    `frozen` daemons neither read nor answer. `rate` is how many bytes a second each
+    daemon can send, 0 for no limit. Between the two daemons of each pair in `cut` all
+    messages are lost without an error. `slow` daemons need that many seconds for each
+    message they read.
     """
 
     def __init__(self, *, loop):
@@ -26,7 +27,7 @@
         self.busy_until = {}
 
     def send_delay(self, daemon, size):
-        """Seconds until bytes that a daemon sends now have left it."""
+        """Seconds until bytes that a daemon sends now have been sent."""
         if not self.rate:
             return 0.0
         now = self.loop.time()
@@ -35,20 +36,20 @@
         return until - now
 
     def is_cut(self, one, other):
-        """Tell whether nothing comes from one daemon to the other."""
+        """Tell whether no message can pass between two daemons."""
         silent = self.frozen | self.dead
         return frozenset({one, other}) in self.cut or bool(silent & {one, other})
 
     def dialer(self, daemon):
-        """The dialer of one daemon."""
+        """Return the dialer of one daemon."""
         return FakeFrameDialer(links=self, daemon=daemon)
 
     def freeze(self, daemon):
-        """A daemon stands still: what is sent to it waits."""
+        """Suspend a daemon: messages to it are queued."""
         self.frozen.add(daemon)
 
     def thaw(self, daemon):
-        """It goes on: first it notices, then it reads."""
+        """Resume a daemon: it first detects the pause, then reads queued messages."""
         self.frozen.discard(daemon)
         self.proxies[daemon].awake_at = self.loop.clock() - 60.0
         self.proxies[daemon].watch_pauses()
@@ -57,12 +58,12 @@
                 link.deliver_waiting()
 
     def kill(self, daemon):
-        """A daemon is gone, and all its links with it."""
+        """End a daemon and all of its links."""
         self.dead.add(daemon)
         self.reset(daemon)
 
     def reset(self, daemon):
-        """A daemon's process ends: its links end with it."""
+        """End all links of a daemon, as when its process ends."""
         for link in list(self.open):
             if daemon in (link.at, link.to):
                 link.end("reset")
@@ -112,7 +113,7 @@
         return self.unsent
 
     def send(self, data):
-        """Send a message, after what its daemon has sent before if links are slow."""
+        """Send a message; on a slow link, after what its daemon has sent before."""
         if not self.alive:
             return False
         delay = self.links.send_delay(self.at, len(data))
@@ -125,18 +126,18 @@
         return True
 
     def sent(self, size):
-        """Bytes have left."""
+        """Record that bytes have been sent."""
         self.unsent -= size
 
     def arrive(self, data):
-        """A message came; a frozen daemon reads it later."""
+        """Deliver a message; a frozen daemon reads it later."""
         if self.at in self.links.frozen:
             self.waiting.append(data)
         elif self.alive:
             self.receiver.frame_received(data)
 
     def deliver_waiting(self):
-        """Hand over what came while the daemon stood still."""
+        """Deliver the messages queued while the daemon was frozen."""
         waiting, self.waiting = self.waiting, []
         for data in waiting:
             if self.alive:
@@ -151,7 +152,7 @@
         return self.alive
 
     def close(self):
-        """Close; the other end hears of it a moment later, unless it stands still."""
+        """Close; the other end is told after a delay, unless it is cut off."""
         if self.alive:
             self.alive = False
             self.links.open.remove(self)
@@ -159,7 +160,7 @@
                 self.links.loop.call_later(ONE_WAY_DELAY, self.other.end, "closed")
 
     def end(self, why):
-        """The other end is gone."""
+        """Close because the other end is gone, and tell the receiver."""
         if self.alive:
             self.close()
             self.receiver.link_lost(why)
--- a/tests/sessions/feedrig.py
+++ b/tests/sessions/feedrig.py
@@ -1,4 +1,4 @@
-"""Daemons that keep feeds of one store in virtual time, watching it or not."""
+"""Daemons in virtual time that keep feeds of one store, as watchers or followers."""
 
 import asyncio
 import json
@@ -19,17 +19,17 @@
 from tests.sessions.rig import Rig
 
 KINDS = ("config", "servers")
-# One way to the store and back, seconds.
+# Time for a request to the store and its answer, seconds.
 ROUND_TRIP = 0.004
-# What a link of 5 Mbit/s carries, bytes a second.
+# Capacity of a link of 5 Mbit/s, bytes a second.
 SLOW_LINK = 600_000
 
 
 class VirtualStore:
-    """Objects by kind, one rising revision, a history; a mode for each client.
+    """Objects by kind with one increasing revision, and a history of changes.
 
-    A daemon in `busy` is turned away at once, one in `silent` gets no answer; `rate` is
-    how many bytes a second an answer comes in, 0 for at once.
+    Calls of a daemon in `busy` fail at once, those of one in `silent` get no answer.
+    `rate` is how many bytes a second an answer transfers, 0 for no limit.
     """
 
     def __init__(self):
@@ -57,38 +57,38 @@
         self.note(kind, Change(obj=obj, deleted=False))
 
     def remove(self, kind, name):
-        """Delete an object, if it is there."""
+        """Delete an object if it exists."""
         obj = self.kinds[kind].pop(name, None)
         if obj is not None:
             self.revision += 1
             self.note(kind, Change(obj=obj, deleted=True))
 
     def note(self, kind, change):
-        """Keep a change for watches and wake them."""
+        """Record a change in the history and wake watches."""
         self.history.append((self.revision, kind, change))
         self.changed.set()
         self.changed = asyncio.Event()
 
     def copy(self):
-        """A copy to return from."""
+        """Return a copy from which the store can be restored."""
         kinds = {kind: dict(objects) for kind, objects in self.kinds.items()}
         return self.revision, kinds, list(self.history)
 
     def return_from(self, copy):
-        """Return from a copy: what came after it is lost, its revisions come again."""
+        """Restore a copy: later changes are lost and their revisions are reused."""
         self.era += 1
         self.revision, kinds, history = copy
         self.kinds = {kind: dict(objects) for kind, objects in kinds.items()}
         self.history = list(history)
 
     def forget_history(self):
-        """Drop the history: watches from before get an error."""
+        """Drop the history: watches from earlier revisions get an error."""
         self.history.clear()
         self.oldest = self.revision
 
 
 class VirtualClient:
-    """One daemon's client of the store, as `gypsum_platform.store.Store` is."""
+    """One daemon's client of the store, like `gypsum_platform.store.Store`."""
 
     def __init__(self, *, store, daemon):
         self.store = store
@@ -96,7 +96,7 @@
         self.calls = 0
 
     async def arrive(self, step, timeout):
-        """A call reaches the store, or fails."""
+        """Wait until a call reaches the store, or raise StoreError."""
         self.calls += 1
         await asyncio.sleep(ROUND_TRIP)
         if self.daemon in self.store.silent:
@@ -106,7 +106,7 @@
             raise StoreError("turned away", step=step, peer="store")
 
     async def transfer(self, objects):
-        """An answer comes over the daemon's link."""
+        """Wait until an answer has been transferred over the daemon's link."""
         if self.store.rate:
             size = sum(len(json.dumps(obj.spec)) for obj in objects)
             await asyncio.sleep(size / self.store.rate)
@@ -154,7 +154,7 @@
         return changes, revision
 
     def check_history(self, since):
-        """Raise HistoryGone if the store has returned from an older copy."""
+        """Raise HistoryGone if the store was restored from an older copy."""
         if era_of(since) != self.store.era:
             raise HistoryGone("an earlier era", step="watch", peer="store")
 
@@ -170,7 +170,7 @@
 
 
 def with_era(era, obj):
-    """An object as it is read in an era."""
+    """An object with its revisions labelled with an era."""
     return replace(
         obj,
         revision=in_era(era, obj.revision),
@@ -179,17 +179,17 @@
 
 
 class FeedCopy:
-    """What one daemon has taken in of a kind: specs by name."""
+    """What one daemon has applied of a kind: specs by name."""
 
     def __init__(self):
         self.specs = {}
 
     def take_all(self, objects):
-        """The whole list."""
+        """Replace the copy by a whole list."""
         self.specs = {obj.name: obj.spec for obj in objects}
 
     def take_change(self, change):
-        """A changed or deleted object."""
+        """Apply a changed or deleted object."""
         if change.deleted:
             self.specs.pop(change.obj.name, None)
         else:
@@ -197,7 +197,7 @@
 
 
 class FeedRig:
-    """A rig whose daemons keep feeds; `copies` is what each knows of each kind."""
+    """A rig whose daemons keep feeds; `copies` has each daemon's copy of each kind."""
 
     def __init__(self, *, daemons=15, seed=1, **options):
         self.store = VirtualStore()
@@ -246,7 +246,7 @@
         return [p.name for p in self.rig.proxies if p.daemons.watches()]
 
     def out_of_date(self):
-        """Daemons and kinds that lack something of the store."""
+        """Daemons and kinds whose copy differs from the store."""
         return [
             (name, kind)
             for name, copies in self.copies.items()
@@ -257,7 +257,7 @@
         ]
 
     async def wait_in_sync(self, within):
-        """Wait until nobody lacks anything; AssertionError if that takes longer."""
+        """Wait until all copies match the store; AssertionError if it takes longer."""
         loop = asyncio.get_running_loop()
         until = loop.time() + within
         while self.out_of_date():
@@ -266,7 +266,10 @@
 
 
 def large_config(version, routes=1600):
-    """A configuration too large to be passed on as it is, names as good as random."""
+    """A configuration too large to be relayed in one update.
+
+    Its names are random, so that it compresses little.
+    """
     rng = Random(version)
     return {
         "version": version,
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -1,7 +1,7 @@
-"""A fleet that starts before an empty store in virtual time: who calls it, how often.
+"""A fleet that starts on an empty store in virtual time; counts calls of the store.
 
-The daemons register, find each other, share a key and follow watchers, by the code of
-the real program; groups and callers are left out.
+The daemons register, find each other, share a key and follow watchers with the code of
+the real program. There are no callers, and upstreams refuse every dial.
 """
 
 import asyncio
@@ -27,10 +27,10 @@
 from tests.sessions.fakelinks import FakeLinks
 from tests.sessions.feedrig import FeedCopy, VirtualClient, VirtualStore
 
-# Within this all processes of a fleet have started, seconds: 0.3 between the machines,
-# and what the imports take on half a core.
+# All processes of a fleet start within this time, seconds: 0.3 between the machines,
+# and the duration of the imports on half a core.
 STARTS_WITHIN = 1.2
-# Connections that an upstream of a large fleet takes.
+# Connections that an upstream of a large fleet accepts.
 MAX_CONNECTIONS = 34
 
 
@@ -42,17 +42,17 @@
         self.counts = counts
 
     async def list_objects(self, kind):
-        """A list."""
+        """Count and forward a list call."""
         self.counts["list", kind] += 1
         return await super().list_objects(kind)
 
     async def watch(self, kind, since, *, wait_ms):
-        """A watch."""
+        """Count and forward a watch call."""
         self.counts["watch", kind] += 1
         return await super().watch(kind, since, wait_ms=wait_ms)
 
     async def create(self, kind, name, spec):
-        """Create an object; raises Conflict if it is there."""
+        """Create an object; raises Conflict if it exists."""
         self.counts["create", kind] += 1
         await self.arrive("create", 2.0)
         found = self.store.kinds[kind].get(name)
@@ -68,7 +68,7 @@
 
 
 class CountingDialer:
-    """Counts dials; every upstream takes one and shows nothing of a leader."""
+    """Counts dials; every dial is refused, so that no leader is found."""
 
     def __init__(self):
         self.dials = 0
@@ -81,7 +81,7 @@
 
 
 def many_groups(count):
-    """A configuration of so many groups."""
+    """A configuration of the given number of groups."""
     groups = {
         f"g{number}": GroupSpec(
             name=f"g{number}", max_connections=MAX_CONNECTIONS, sync_replicas=1
@@ -92,7 +92,7 @@
 
 
 def members_of(catalog):
-    """Three upstreams of each group."""
+    """Three upstreams for each group."""
     return [
         Member(
             id=f"{group}-{number}",
@@ -107,7 +107,7 @@
 
 
 class FleetRig:
-    """Daemons in some failure domains that start within a moment."""
+    """Daemons in several failure domains that start within STARTS_WITHIN."""
 
     def __init__(self, *, daemons, domains=5, seed=1, groups=0):
         self.loop = asyncio.get_running_loop()
@@ -129,7 +129,7 @@
             self.loop.call_later(delay, self.start, name, domain)
 
     def start(self, name, domain):
-        """One process starts."""
+        """Start one daemon."""
         proxy = Proxy(
             name=name,
             domain=domain,
@@ -189,7 +189,7 @@
             proxy.take_members(members_of(self.catalog))
 
     def calls(self):
-        """Calls of all daemons since the last look, by step and kind."""
+        """Calls of all daemons since the previous one, by step and kind."""
         found, self.counts = Counter(self.counts), self.counts
         self.counts.clear()
         return found
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -1,4 +1,4 @@
-"""Daemons that missed changes of the store, and how they come to know them."""
+"""Daemons that missed changes of the store, and how they get them."""
 
 import asyncio
 from random import Random
@@ -13,19 +13,22 @@
 from tests.sessions.feedrig import SLOW_LINK, FeedRig, large_config
 from tests.sessions.vclock import run
 
-# Within this a change is in force at whoever reaches the store or a daemon that does,
-# seconds: the users' bound on large deployments.
+# Time within which a change is in force at each daemon that reaches the store, or a
+# daemon that does, seconds: the users' bound for large deployments.
 BOUND = 5.0
-# Until then daemons that follow have ended the first watch of their own, seconds.
+# By then followers have ended the first watch of their own, seconds.
 SETTLED = 6.0
 
 
 def test_a_follower_that_missed_a_large_change_does_not_rest():
-    """Seven of 74 daemons served by configuration 4 to the 23rd second, when 16 was in
-    force everywhere else, and asked the store nothing: "relay behind feed=config
-    known=... vouched=... taken_for_current=True". The store had turned them away while
-    the change was made, which was too large to be passed on. Once it was over, their
-    watcher vouched for a revision above theirs, and they took that for being current.
+    """Guards against a follower that takes itself for up to date after a missed change.
+
+    Seven of 74 daemons used configuration 4 until the 23rd second, while 16 was in
+    force everywhere else, and did not ask the store: "relay behind feed=config
+    known=... vouched=... taken_for_current=True". The store had rejected their calls
+    while the change was made, which was too large to be relayed. Afterwards their
+    watcher confirmed a later revision than theirs, and they took that for being up to
+    date.
     """
 
     async def main():
@@ -41,11 +44,11 @@
 
 
 def test_a_small_change_after_a_gap_does_not_hide_the_gap():
-    """Symptom: an upstream that came is never known to some daemons.
+    """Guards against an added upstream that some daemons never learn of.
 
-    Sequence: a daemon misses a large change while it does not reach the store, then
-    takes in a small one that is passed on. Cause: news did not say from which revision
-    on they count, and it called itself caught up to theirs.
+    A daemon misses a large change while it does not reach the store, then applies a
+    small one that is relayed. Updates did not contain the revision that they start
+    from, so the daemon took itself for caught up to theirs.
     """
 
     async def main():
@@ -64,7 +67,7 @@
 
 
 async def small_change_right_after_a_gap():
-    """A small change is made while a large one before it is on its way in pieces."""
+    """Make a small change while a large one is being sent in pieces."""
     rig = FeedRig()
     rig.links.rate = rig.store.rate = SLOW_LINK
     await asyncio.sleep(SETTLED)
@@ -79,20 +82,20 @@
 
 
 def test_a_small_change_right_after_a_gap_does_not_hide_it():
-    """Symptom: as above, for daemons that get the large change from a watcher.
+    """Guards against the same failure for a large change received from a watcher.
 
-    Sequence: the small change overtakes the pieces of the large one. Cause: as above;
-    the pieces were then taken for old.
+    The small change overtakes the pieces of the large one, which were then dropped as
+    old.
     """
     run(small_change_right_after_a_gap())
 
 
 @pytest.mark.parametrize("trouble", ["busy", "silent"])
 def test_who_does_not_reach_the_store_gets_large_lists_from_a_watcher(trouble):
-    """Symptom: a daemon refuses a route that was added 15 s before.
+    """Guards against refusing a route that was added 15 s before.
 
-    Sequence: the store turns a third of the daemons away, or is silent to them, and a
-    large change is made. Cause: whoever could pass it on did not, for its size.
+    The store rejects the calls of a third of the daemons, or does not answer them, and
+    a large change is made. Watchers did not relay it because of its size.
     """
 
     async def main():
@@ -109,10 +112,9 @@
 
 
 def test_a_watcher_that_does_not_reach_the_store_follows_another():
-    """Symptom: a daemon serves by an old configuration while all others have the new.
+    """Guards against a watcher that keeps an old configuration.
 
-    Sequence: the store turns away a daemon that watches it. Cause: watchers asked
-    nobody but the store.
+    The store rejects the calls of one watcher, and watchers asked only the store.
     """
 
     async def main():
@@ -127,10 +129,10 @@
 
 
 def test_a_watcher_that_is_turned_away_is_left_for_one_that_is_not():
-    """Symptom: as above, all those who follow one watcher.
+    """Guards against an old configuration at all followers of one watcher.
 
-    Sequence: the store turns away the watcher and its followers. Cause: the watcher
-    was left only when it fell silent, not when it had nothing to tell.
+    The store rejects the calls of the watcher and of its followers. The watcher was
+    left only when it was silent, not when it had no confirmed feeds.
     """
 
     async def main():
@@ -147,11 +149,10 @@
 
 
 def test_who_watches_again_passes_on_all_that_it_missed_as_a_watcher():
-    """Symptom: an upstream that was replaced long ago is known to a few daemons.
+    """Guards against a replaced upstream that some daemons keep.
 
-    Sequence: a watcher follows another one for a while, watches again, and a daemon
-    begins to follow it. Cause: what it had taken in meanwhile was not in the list that
-    it passed on.
+    A watcher follows another one for a while, watches again, and a daemon begins to
+    follow it. The list that it relayed lacked what it had applied meanwhile.
     """
 
     async def main():
@@ -174,7 +175,7 @@
 
 
 def test_a_calm_fleet_leaves_the_store_to_its_watchers():
-    """Followers that are up to date make no calls, also while other kinds change."""
+    """Followers that are up to date make no calls, even if other kinds change."""
 
     async def main():
         rig = FeedRig()
@@ -191,11 +192,11 @@
 
 
 def test_a_large_change_reaches_followers_by_way_of_their_watchers():
-    """Load: a large configuration changes and all daemons have links of 5 Mbit/s.
+    """Load: a large configuration changes, and all daemons have links of 5 Mbit/s.
 
-    Each follower that reads it from the store loads its link for half a second, and
-    makes a call that is paid for; packed it comes in less than half of that, beside
-    statements, and the store hears of the watchers alone.
+    A follower that reads it from the store occupies its link for half a second, and
+    makes a call that is paid for. Packed, it takes less than half of that, interleaved
+    with statements, and only the watchers call the store.
     """
 
     async def main():
@@ -212,7 +213,7 @@
 
 
 def test_followers_of_a_watcher_whose_store_falls_silent_are_in_time():
-    """Guards against a watcher that confirms for as long as its own watch may hang."""
+    """Guards against a watcher that confirms feeds while its own watch hangs."""
 
     async def main():
         rig = FeedRig()
@@ -230,7 +231,7 @@
 
 
 def change(rig, rng):
-    """Change something of the store."""
+    """Make a random change in the store."""
     store, number = rig.store, rng.randrange(8)
     match rng.choice(("small", "small", "large", "many", "remove", "forget")):
         case "small":
@@ -247,7 +248,7 @@
 
 
 def inject_fault(rig, rng):
-    """Let some daemons lose the store, a daemon freeze, or all be well."""
+    """Cut some daemons off from the store, freeze a daemon, or recover all."""
     names = list(rig.copies)
     some = rng.sample(names, len(names) // 3)
     match rng.choice(("busy", "silent", "watchers", "freeze", "well", "well")):
@@ -264,7 +265,7 @@
 
 
 def recover_all(rig):
-    """All daemons run and reach the store."""
+    """Resume all daemons and let them reach the store."""
     rig.store.busy.clear()
     rig.store.silent.clear()
     for name in list(rig.links.frozen):
@@ -272,7 +273,7 @@
 
 
 async def random_run(seed, daemons):
-    """Changes and troubles in any order; AssertionError if anybody stays behind."""
+    """Changes and faults in random order; AssertionError if a daemon stays behind."""
     rng = Random(seed)
     rig = FeedRig(daemons=daemons, seed=seed)
     rig.links.rate = rig.store.rate = rng.choice((0, SLOW_LINK))
@@ -292,41 +293,42 @@
 @pytest.mark.parametrize("daemons", [15, 6])
 @pytest.mark.parametrize("seed", range(12))
 def test_nobody_stays_behind_whatever_happens(seed, daemons):
-    """Changes, small and large, while the store is out of reach for some, daemons
-    freeze, and watchers change: who is in touch with anybody who knows better is
-    not behind for longer than the bound.
+    """Daemons that reach an up-to-date daemon are not behind for longer than the bound.
+
+    Small and large changes are made while some daemons do not reach the store, daemons
+    freeze, and watchers change.
     """
     run(random_run(seed, daemons))
 
 
 def always(*args, **fields):
-    """Say yes."""
+    """Return True."""
     return True
 
 
 def never(*args, **fields):
-    """Say no, or do nothing."""
+    """Return False, and do nothing."""
     return False
 
 
 BREAKS = {
-    "everybody is current": (feedfollower, "is_current", always),
+    "every follower counts as up to date": (feedfollower, "is_current", always),
     "gaps are overlooked": (feedfollower, "continues", always),
-    "nobody asks for whole lists": (FeedFollower, "request_list", never),
-    "who has nothing to tell is followed on": (
+    "whole lists are never requested": (FeedFollower, "request_list", never),
+    "unusable watchers are kept": (
         FeedFollower,
         "watcher_is_unusable",
         never,
     ),
-    "watchers follow nobody": (FeedFollower, "store_lost", never),
-    "old lists are passed on": (Relay, "drop_feed", never),
-    "changes pass unnoticed": (Relay, "mark_changed", never),
+    "watchers never follow another one": (FeedFollower, "store_lost", never),
+    "outdated lists are relayed": (Relay, "drop_feed", never),
+    "changes are not recorded": (Relay, "mark_changed", never),
 }
 
 
 @pytest.mark.parametrize("name", BREAKS)
 def test_a_planted_break_is_noticed(name, monkeypatch):
-    """Each rule that keeps daemons from staying behind is missed when it is gone."""
+    """Each rule that keeps daemons from staying behind is covered by these runs."""
     monkeypatch.setattr(*BREAKS[name])
     with pytest.raises(AssertionError):
         run(small_change_right_after_a_gap())
@@ -336,11 +338,10 @@
 
 
 def test_followers_of_a_watcher_that_leaves_have_another_before_it_ends():
-    """Symptom: daemons serve by an old configuration while others are rolled.
+    """Guards against daemons that use an old configuration during a rolling restart.
 
-    Sequence: a watcher is told to stop, and a change is made a moment later, and one
-    more when it is gone. Cause: its followers stayed until its links ended, or opened
-    new ones to it.
+    A watcher is told to stop; a change is made a moment later, and one more after its
+    end. Its followers stayed until its links ended, or opened new ones to it.
     """
 
     async def main():
--- a/tests/sessions/test_fleet_start.py
+++ b/tests/sessions/test_fleet_start.py
@@ -1,4 +1,4 @@
-"""How often a fleet calls the store: at its start, and while nothing changes."""
+"""Number of store calls of a fleet, during its start and while nothing changes."""
 
 import asyncio
 
@@ -7,16 +7,16 @@
 from tests.sessions.fleetrig import FleetRig
 from tests.sessions.vclock import run
 
-# Daemons of a large deployment, and of one a third of that.
+# Number of daemons of a large deployment, and of one a third of its size.
 LARGE, SMALLER = 195, 65
-# A day's length, seconds, and when all has settled.
+# Length of a day, and time until the fleet has settled, seconds.
 DAY, SETTLED = 50.0, 10.0
-# Calls of a day that the aim allows a fleet of 195 daemons.
+# Calls in a day that a fleet of 195 daemons may make.
 MAX_CALLS = 1700
 
 
 async def day(daemons):
-    """Calls until all has settled and after it; all daemons know each other then."""
+    """Calls until the fleet has settled, and after it; checks that it has settled."""
     rig = FleetRig(daemons=daemons)
     await asyncio.sleep(SETTLED)
     assert rig.missing_peers() == []
@@ -26,12 +26,12 @@
 
 
 def test_a_large_fleet_calls_the_store_a_few_times_a_daemon():
-    """Symptom: 195 daemons call the store 3,400 times on a day without events.
+    """Guards against 195 daemons that make 3,400 store calls on a day without events.
 
-    Sequence: they start within a second, each registers, and each that is not told of
-    it yet watches the store: every entry ends all waiting watches, which are asked
-    again. Cause: changes that come in a swarm were fetched one by one, and daemons that
-    were about to follow a watcher watched the store until then.
+    They start within a second and register. Each daemon that does not follow a watcher
+    yet watches the store, and every new entry ends all waiting watches, which are then
+    repeated. Changes in quick succession were fetched one by one, and daemons watched
+    the store until they found a watcher.
     """
     start, later = run(day(LARGE))
     assert sum((start + later).values()) <= MAX_CALLS
@@ -45,12 +45,11 @@
 
 
 def test_a_fleet_that_starts_leaves_groups_to_their_owners():
-    """Symptom: 300 daemons use up all their time, and the upstreams' connections,
-    before anybody has asked for anything.
+    """Guards against starting daemons that each take on all groups.
 
-    Sequence: each reads the list of daemons when it is nearly empty, finds that it owns
-    every group, searches for the leaders of all, and holds on to them. Cause: a list
-    that still grew was gone by.
+    300 daemons used all of their CPU time and the upstreams' connections before the
+    first statement. Each read the list of daemons while it was nearly empty, found that
+    it owned every group, searched for the leaders of all, and kept the groups.
     """
 
     async def main():
@@ -67,7 +66,7 @@
 
 @pytest.mark.parametrize("seed", [2, 3])
 def test_everybody_knows_of_a_daemon_that_comes_later(seed):
-    """The counterpart: who waits for a watcher misses nothing."""
+    """A daemon that waits for a watcher misses no entry."""
 
     async def main():
         rig = FleetRig(daemons=40, seed=seed)
--- a/tests/sessions/test_fleet_store_return.py
+++ b/tests/sessions/test_fleet_store_return.py
@@ -1,4 +1,4 @@
-"""A fleet whose entries are lost as the store returns from an older copy."""
+"""A fleet whose entries are lost because the store is restored from an older copy."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 from tests.sessions.vclock import run
 
 SETTLED = 10.0
-# Entries that are written in any second at most, twice the rate that they aim at.
+# Maximum number of entries written in any second: twice the target rate.
 MAX_WRITES = 2 * REWRITES_PER_S
 
 
 async def lose_all_entries(rig):
-    """The store returns from a copy that is older than the fleet."""
+    """Restore the store from a copy that is older than the fleet."""
     empty = rig.store.copy()
     await asyncio.sleep(SETTLED)
     assert rig.missing_peers() == []
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("daemons", [9, 65, 195])
 def test_lost_entries_and_the_key_are_written_again_without_a_rush(daemons):
-    """Guards against a fleet of which new daemons know nothing, with another key."""
+    """Guards against a fleet unknown to new daemons, which use another key."""
 
     async def main():
         rig = FleetRig(daemons=daemons)
--- a/tests/sessions/test_owner_without_primary.py
+++ b/tests/sessions/test_owner_without_primary.py
@@ -1,4 +1,4 @@
-"""An owner that has lost the primary hands work on to one that has not."""
+"""An owner that has lost the primary leaves its work to an owner that has not."""
 
 import asyncio
 
@@ -7,12 +7,12 @@
 from tests.sessions.vclock import run
 
 KEYS = {"north": ["n1"]}
-# An owner has noticed by then that it lost the primary, seconds: a question and a dial.
+# By then an owner has detected that it lost the primary, seconds: a request and a dial.
 NOTICED = 1.2
 
 
 async def cut_owner(kept=()):
-    """The owner of a workspace's work has lost the primary; a daemon that asks it."""
+    """Cut a workspace's owner off from the primary; returns rig and caller."""
     rig = Rig(daemons=DAEMONS, max_connections=MAX_CONNECTIONS, keys=KEYS)
     await rig.settle()
     asking = rig.others()[0]
@@ -27,11 +27,11 @@
 
 
 def test_a_workspace_is_served_while_its_owner_has_lost_the_primary():
-    """Symptom: all callers of some workspaces are refused while others are served.
+    """Guards against refusing all callers of some workspaces while others are served.
 
-    Sequence: the primary is cut off from the owner that has their work; it waits for a
-    primary, callers come back through other daemons, and all of these ask the same
-    owner. Cause: an owner passed work on only as long as it had never seen a primary.
+    The primary is cut off from the owner of their work, which waits for a primary.
+    Callers retry through other daemons, which all send to the same owner. An owner left
+    work to others only if it had never proven a primary.
     """
 
     async def main():
@@ -48,7 +48,7 @@
 
 
 def test_without_any_primary_the_last_owner_waits_for_the_next_one():
-    """The counterpart: where nobody has one, work is not passed round until its end."""
+    """Where no owner has a primary, work is not handed on until its deadline."""
 
     async def main():
         rig, caller = await cut_owner()
--- a/tests/sessions/test_peer_messages.py
+++ b/tests/sessions/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between daemons of two versions."""
+"""Compatibility of messages between daemons of two versions."""
 
 import cbor2
 import pytest
@@ -8,7 +8,7 @@
 from gypsum_sessions.daemons.peermessages import StatementResponse, decode, encode
 from gypsum_sessions.replies import Reply
 
-# The fields of each message in their order. A field may only come behind these.
+# The fields of each message in order. New fields may only be appended.
 FIELD_ORDER = {
     "StatementRequest": (
         "call request statement route left values prepared own_floor transaction "
@@ -32,7 +32,7 @@
     "FetchList": "feed",
     "ListPiece": "feed revision number total data",
 }
-# How many of them daemons of the first version send.
+# How many of these fields daemons of the first version send.
 FIRST_VERSION = {
     "StatementRequest": 13,
     "StatementResponse": 8,
@@ -43,10 +43,10 @@
 
 @pytest.mark.parametrize("name", FIELD_ORDER)
 def test_fields_keep_their_places(name):
-    """Symptom: `no message: Expected `float`, got `bool` - at `$[8]``, and what was on
-    its way between two daemons is in doubt.
+    """Guards against a field added in the middle of a message.
 
-    Sequence: a fleet is rolled to a new version. Cause: a field was put between others.
+    During a rolling upgrade it fails with `Expected `float`, got `bool` - at `$[8]``,
+    and requests in flight between two daemons are in doubt.
     """
     message = getattr(peermessages, name)
     assert list(message.__struct_fields__) == FIELD_ORDER[name].split()
--- a/tests/sessions/test_registry.py
+++ b/tests/sessions/test_registry.py
@@ -1,4 +1,4 @@
-"""The list of daemons: ordered once for many changes."""
+"""The list of daemons is ordered once for many changes."""
 
 from gypsum_core.placement import Placement
 from gypsum_sessions.catalog import GroupSpec
@@ -9,10 +9,10 @@
 
 
 def test_a_swarm_of_entries_is_ordered_once(monkeypatch):
-    """Symptom: 300 daemons that start use up all their processor time for seconds.
+    """Guards against 300 starting daemons that use all of their CPU time for seconds.
 
-    Sequence: each hears of all others, one by one. Cause: each entry put the daemons of
-    its failure domain into a new order, five milliseconds of a hundred of them.
+    Each daemon hears of all others one by one. Each entry reordered the daemons of its
+    failure domain, which takes five milliseconds for a hundred daemons.
     """
     updates = []
     update = Placement.update
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -1,4 +1,4 @@
-"""News of the store reach daemons that do not watch it, and never older ones."""
+"""Feed updates reach daemons that do not watch the store, and never out of order."""
 
 import asyncio
 from random import Random
@@ -22,7 +22,7 @@
 
 
 async def make_rig():
-    """Fifteen daemons in one domain, two of them watchers; one follower that runs."""
+    """Fifteen daemons in one domain, two of them watchers; one follower runs."""
     rig = Rig(daemons=DAEMONS, max_connections=9)
     follower = next(proxy for proxy in rig.proxies if not proxy.daemons.watches())
     watchers = [rig.links.proxies[name] for name in follower.daemons.watchers()]
@@ -38,7 +38,7 @@
 
 
 def keep_store_answering(proxy):
-    """The store answers a watcher again and again."""
+    """Report an answer of the store to a watcher every 0.1 s."""
 
     async def keep_answering():
         while True:
@@ -49,13 +49,13 @@
 
 
 def objects_of(count):
-    """Objects that hardly shrink when they are packed."""
+    """Objects that compress little."""
     rng = Random(1)
     return {f"n{number}": {"x": rng.getrandbits(60)} for number in range(count)}
 
 
 def followed(rig, follower):
-    """The watcher that is followed."""
+    """The watcher that a daemon follows."""
     return rig.links.proxies[follower.following.link.peer]
 
 
@@ -99,10 +99,10 @@
 
 
 def test_a_watcher_that_falls_silent_is_left_for_another():
-    """Symptom: a daemon serves by a configuration that is long gone.
+    """Guards against a daemon that uses an outdated configuration.
 
-    Sequence: the watcher that it follows freezes. Cause: nothing tells it that no
-    news come because nobody can send any.
+    The watcher that it follows freezes, and nothing distinguished missing updates from
+    no changes.
     """
 
     async def main():
@@ -119,10 +119,10 @@
 
 
 def test_a_watcher_without_the_store_is_left_for_one_that_is_in_touch():
-    """Symptom: as above, the watcher lives.
+    """Guards against an outdated configuration while the watcher is alive.
 
-    Sequence: the watcher is cut from the store, the others are not. Cause: it is
-    followed on, and has no news.
+    The watcher is cut off from the store, other watchers are not. It was followed
+    further, and had no updates.
     """
 
     async def main():
@@ -148,8 +148,10 @@
 
 
 def test_who_knows_more_than_its_watcher_takes_what_follows_on_it():
-    """A follower that has asked the store itself rests: its watcher is in touch with
-    the store, and tells all that changes after what the watcher knows.
+    """A follower ahead of its watcher is up to date.
+
+    It has asked the store itself. Its watcher is confirmed by the store, and sends all
+    changes after the revision that the watcher knows.
     """
 
     async def main():
@@ -236,10 +238,10 @@
 
 
 def test_what_a_watcher_sent_that_was_left_does_not_count():
-    """Symptom: an upstream that is gone comes back into a daemon's list.
+    """Guards against a removed upstream that reappears in a daemon's list.
 
-    Sequence: news are on their way, or not taken in yet, when their watcher is left for
-    another one that knows more. Cause: they were taken in after the other one's.
+    Updates are in flight or not applied yet when their watcher is left for another one
+    that knows more. They were applied after the updates of the new watcher.
     """
 
     async def main():
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -1,4 +1,4 @@
-"""Statements that go to an owner of their group, and owners that fail meanwhile."""
+"""Statements sent to an owner of their group, and owners that fail meanwhile."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 
 async def make_rig():
-    """Three owners and two others, which know who leads."""
+    """Three owners and two other daemons; the owners have proven the leader."""
     rig = await owners_rig()
     assert (len(rig.owners()), len(rig.others())) == (3, 2)
     return rig
@@ -79,10 +79,10 @@
 
 
 def test_a_read_is_asked_elsewhere_when_its_owner_goes_silent():
-    """Symptom: reads of a healthy group take as long as their callers wait.
+    """Guards against reads of a healthy group that take until their deadline.
 
-    Sequence: an owner freezes with a read on its way. Cause: the daemon that sent it
-    waits for an answer that does not come.
+    An owner freezes while a read is on its way, and the daemon that sent it waited for
+    an answer that does not come.
     """
 
     async def main():
@@ -98,10 +98,10 @@
 
 
 def test_a_write_at_an_owner_that_went_silent_is_in_doubt_and_not_repeated():
-    """Symptom: a write takes effect twice.
+    """Guards against a write that takes effect twice.
 
-    Sequence: an owner freezes with a write on its way, and thaws. Cause: the write was
-    sent to the next owner as well, or the first one runs what was queued.
+    An owner freezes while a write is on its way, and resumes. The write was also sent
+    to the next owner, or the first one runs it from its queue.
     """
 
     async def main():
@@ -132,11 +132,11 @@
 
 
 def test_a_transaction_whose_owner_is_lost_is_rolled_back_for_good():
-    """Symptom: a transaction that was told as rolled back is committed.
+    """Guards against committing a transaction that was reported as rolled back.
 
-    Sequence: a transaction writes at an owner, the owner freezes, its caller is told,
-    the owner thaws and reads a COMMIT that was queued. Cause: the COMMIT reached it
-    over a link that the other end has given up.
+    A transaction writes at an owner, the owner freezes, the caller gets the refusal,
+    and the owner resumes and reads a queued COMMIT. The COMMIT reached it over a link
+    that the other end had closed.
     """
 
     async def main():
@@ -256,10 +256,10 @@
 
 
 def test_a_daemon_that_does_not_own_serves_those_who_reach_no_owner():
-    """Symptom: a group is out of service although half of the daemons live.
+    """Guards against a group without service while half of the daemons live.
 
-    Sequence: all owners of a group are killed together. Cause: nobody else takes
-    statements for it.
+    All owners of a group are killed together, and no other daemon accepted its
+    statements.
     """
 
     async def main():
@@ -302,10 +302,10 @@
 
 
 def test_a_transaction_goes_to_an_owner_that_has_a_connection_free():
-    """Symptom: transactions wait until their deadline while connections are idle.
+    """Guards against transactions that wait although connections are idle.
 
-    Sequence: transactions that pause hold all connections of one owner; the next one
-    comes to it. Cause: an owner waited for its own connections, whatever others have.
+    Idle transactions hold all connections of one owner, and the next one is sent there.
+    The owner waited for its own connections until the deadline, whatever others had.
     """
 
     async def main():
--- a/tests/sessions/test_slow_owner.py
+++ b/tests/sessions/test_slow_owner.py
@@ -1,7 +1,7 @@
-"""An owner whose machine is slow, or whose queue is full, beside others that are well.
+"""An owner on a slow machine, or with a full queue, next to healthy owners.
 
-The load: fifteen reads a second at each of two daemons that send them to three owners;
-the first one asked takes 0.4 s for each message.
+Load: fifteen reads a second at each of two daemons that send them to three owners; the
+owner that is tried first takes 0.4 s for each message.
 """
 
 import asyncio
@@ -11,12 +11,12 @@
 
 READ_DELAY = 0.4
 READ_INTERVAL = 0.066
-# What an answer of an owner that is well takes at most, seconds.
+# Maximum duration of a healthy owner's answer, seconds.
 FAST_ANSWER = 0.1
 
 
 async def send_reads(rig, proxy, seconds, results):
-    """Reads of callers that do not wait for each other; when each began, and took."""
+    """Send reads at a fixed rate, without waiting for replies; append to `results`."""
     until, running = rig.loop.time() + seconds, []
     while rig.loop.time() < until:
         running.append(asyncio.create_task(read(rig, proxy, results)))
@@ -25,7 +25,7 @@
 
 
 async def read(rig, proxy, results):
-    """One read."""
+    """Send one read; append when it began, its duration and whether it succeeded."""
     caller = rig.caller("own", proxy)
     began = rig.loop.time()
     reply = await caller.send("READ a")
@@ -33,11 +33,10 @@
 
 
 def test_callers_leave_an_owner_whose_machine_is_slow():
-    """Symptom: two of 24 owners refuse 1,755 statements and answer the others after 370
-    ms, while the rest answer within 50 ms.
+    """Guards against preferring a near owner however slow its answers are.
 
-    Sequence: their machines turn slow. Cause: who is near is asked first, however long
-    its answers take.
+    Two of 24 owners, on slow machines, refused 1,755 statements and answered the others
+    after 370 ms, while the other owners answered within 50 ms.
     """
 
     async def main():
@@ -73,10 +72,10 @@
 
 
 def test_what_one_owners_queue_refuses_another_one_runs():
-    """Symptom: `not run, the queue takes 900 ms`, beside owners that have no queue.
+    """Guards against refusals of a full owner while other owners have no queue.
 
-    Sequence: the owner that is asked first has work for a second before it. Cause: its
-    refusal was the caller's answer.
+    The owner that is tried first has work for a second queued, and its refusal, `not
+    run, the queue takes 900 ms`, was returned to the caller.
     """
 
     async def main():
--- a/tests/sessions/test_store_return.py
+++ b/tests/sessions/test_store_return.py
@@ -1,4 +1,4 @@
-"""A fleet whose store returns from an older copy."""
+"""A fleet whose store is restored from an older copy."""
 
 import asyncio
 import os
@@ -21,15 +21,15 @@
 )
 from tests.sessions.vclock import run
 
-# The store is away for this long before it returns, seconds.
+# Time for which the store does not answer before it is restored, seconds.
 AWAY = 2.3
-# Changes, troubles and returns of a random run, and how many of these there are.
+# Steps of a random run, and number of random runs.
 STEPS = 25
 SEEDS = int(os.environ.get("GYPSUM_FUZZ_SEEDS", "10"))
 
 
 async def lose_changes(rig, count):
-    """Make changes that all daemons learn of and that the store then loses."""
+    """Make changes that all daemons apply and that the store then loses."""
     copy = rig.store.copy()
     for number in range(count):
         rig.store.put("config", "main", {"version": 10 + number})
@@ -42,7 +42,7 @@
 
 
 async def revisions_reused():
-    """Three changes are lost, three others get their revisions."""
+    """Three changes are lost, and three others get their revisions."""
     rig = FeedRig()
     await asyncio.sleep(SETTLED)
     await lose_changes(rig, 3)
@@ -53,12 +53,12 @@
 
 
 def test_changes_under_revisions_that_are_given_out_again_are_in_force_in_time():
-    """Guards against comparing revisions of two histories of the store."""
+    """Guards against comparing revisions of two eras of the store."""
     run(revisions_reused())
 
 
 async def removals_in_a_new_history(daemons):
-    """Upstreams are removed while nobody reaches a store that lost changes."""
+    """Upstreams are removed while no daemon reaches a store that lost changes."""
     rig = FeedRig(daemons=daemons)
     await asyncio.sleep(SETTLED)
     await lose_changes(rig, 3)
@@ -73,12 +73,12 @@
 
 @pytest.mark.parametrize("daemons", [15, 6])
 def test_what_a_new_history_removed_is_not_kept(daemons):
-    """Guards against missing changes below the revision known of the lost history."""
+    """Guards against missing changes below the revision known from the lost era."""
     run(removals_in_a_new_history(daemons))
 
 
 class StoreBackups:
-    """Copies of a rig's store, from which it returns now and then."""
+    """Copies of a rig's store, from which it is restored at random."""
 
     def __init__(self, *, rig, rng):
         self.rig = rig
@@ -86,18 +86,18 @@
         self.kept = [rig.store.copy()]
 
     def back_up(self):
-        """Keep a copy of now."""
+        """Make a copy of the current state."""
         self.kept.append(self.rig.store.copy())
 
     def restore_any(self):
-        """Return from any copy; those after it are lost with the history."""
+        """Restore a random copy; copies made after it are dropped."""
         place = self.rng.randrange(len(self.kept))
         del self.kept[place + 1 :]
         self.rig.store.return_from(self.kept[place])
 
 
 async def random_run(seed, daemons):
-    """Changes, troubles and returns of the store in any order."""
+    """Changes, faults and restores of the store in random order."""
     rng = Random(f"returns:{seed}")
     rig = FeedRig(daemons=daemons, seed=seed)
     rig.links.rate = rig.store.rate = rng.choice((0, SLOW_LINK))
@@ -122,12 +122,12 @@
 @pytest.mark.parametrize("daemons", [15, 6])
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_nobody_stays_in_a_lost_history_whatever_happens(seed, daemons):
-    """Guards against daemons that mix what two histories of the store hold."""
+    """Guards against daemons that mix the contents of two eras of the store."""
     run(random_run(seed, daemons))
 
 
 def test_a_fleet_that_does_not_tell_eras_apart_is_noticed(monkeypatch):
-    """Guards against random runs that would find nothing."""
+    """Checks that the random runs find a missing distinction of eras."""
     monkeypatch.setattr(feedrig, "in_era", lambda era, number: number)
     with pytest.raises(AssertionError):
         for seed in range(SEEDS):
@@ -135,7 +135,7 @@
 
 
 def test_a_watcher_in_an_earlier_era_confirms_nothing():
-    """Guards against resting on a watcher whose own watch hangs in a lost history."""
+    """Guards against trusting a watcher whose own watch is stuck in a lost era."""
     old = FeedState(since=in_era(1, 90), revision=in_era(1, 99))
     feed = WatchedFeed(known=in_era(2, 3), state=old)
     assert feed.confirmed_state is None
@@ -143,13 +143,13 @@
 
 
 def test_who_knows_a_lost_history_is_behind_a_watcher_in_the_new_one():
-    """Guards against a follower that rests on the revisions of a lost history."""
+    """Guards against a follower that relies on the revisions of a lost era."""
     new = FeedState(since=in_era(1, 90), revision=in_era(2, 91))
     assert WatchedFeed(known=in_era(1, 93), state=new).behind
 
 
 def test_a_list_that_is_the_same_in_a_new_era_counts_as_changed():
-    """Guards against followers that keep what a lost history has removed."""
+    """Guards against followers that keep objects whose removal they have missed."""
     relay = Relay(clock=lambda: 0.0, in_touch_for=5.0, watches=lambda: True)
     relay.take_all("things", {}, in_era(1, 5))
     relay.take_all("things", {}, in_era(1, 7))
--- a/tests/sessions/test_usage.py
+++ b/tests/sessions/test_usage.py
@@ -1,4 +1,4 @@
-"""Caps of workspaces over a fleet: never exceeded, and no refusal below them."""
+"""Caps of workspaces over a fleet: never exceeded, and no refusals below them."""
 
 import asyncio
 from random import Random
@@ -16,28 +16,28 @@
 CAP = Cap(rate=40.0, burst=40.0, version=1)
 LOW = Cap(rate=8.0, burst=8.0, version=2)
 DAEMONS = 6
-# What a window may exceed its cap by: a share of it, and some operations more.
+# Excess over the cap that a window may show: a share of it, and some operations.
 TOLERANCE_SHARE = 0.1
 TOLERANCE = 20
 
 
 class OperationRecorder:
-    """Keeps when each operation of a caller ran; each has one statement."""
+    """Records when each operation of a workspace ran; each has one statement."""
 
     def __init__(self, *, loop):
         self.loop = loop
         self.times = []
 
     def statement_ran(self, conn, request):
-        """An upstream ran a caller's statement."""
+        """Record a caller's statement that an upstream ran."""
         if conn.workspace == "north":
             self.times.append(self.loop.time())
 
     def read_ran(self, member, request):
-        """An upstream ran a read: that is counted already."""
+        """Ignore reads, which statement_ran has recorded already."""
 
     def max_in_window(self, since=0.0):
-        """The most operations in any window that begins after a moment."""
+        """The maximum number of operations in any window that begins after `since`."""
         times = sorted(at for at in self.times if at >= since)
         ends = (
             sum(at <= one + WINDOW for at in times[i:]) for i, one in enumerate(times)
@@ -46,12 +46,12 @@
 
 
 def max_allowed(cap):
-    """The operations that any window may show."""
+    """The maximum number of operations in any window."""
     return (cap.rate * WINDOW + cap.burst) * (1 + TOLERANCE_SHARE) + TOLERANCE
 
 
 async def capped_rig(daemons=DAEMONS):
-    """A fleet whose workspaces have caps, known for long."""
+    """A fleet whose workspaces have had caps for a while."""
     rig = Rig(daemons=daemons, keys=KEYS, caps={"north": CAP}, max_connections=90)
     for member in rig.group.members:
         member.work, member.slots = 0.002, 20
@@ -62,7 +62,7 @@
 
 
 class Load:
-    """Reads of one workspace at random daemons, so many a second."""
+    """Reads of one workspace at random daemons, at a given rate."""
 
     def __init__(self, *, rig, seed=1):
         self.rig = rig
@@ -71,7 +71,7 @@
         self.tasks = set()
 
     async def run(self, rate, seconds, proxies=None):
-        """Ask for some seconds; all are answered at the end."""
+        """Send reads for some seconds, and wait for all replies."""
         until = self.rig.loop.time() + seconds
         while self.rig.loop.time() < until:
             proxy = self.rng.choice(proxies or self.rig.proxies)
@@ -80,26 +80,26 @@
         await asyncio.gather(*self.tasks)
 
     async def send_read(self, proxy):
-        """One operation."""
+        """Run one operation."""
         caller = self.rig.caller("bounded", proxy, key="n1")
         reply = await caller.send("READ a")
         self.replies.append((self.rig.loop.time(), reply))
 
     def refused(self, since=0.0):
-        """Refusals after a moment."""
+        """Refusals after a point in time."""
         return [reply for at, reply in self.replies if not reply.ok and at >= since]
 
 
 def home_of(rig):
-    """The daemon that counts for the workspace."""
+    """The home of the workspace."""
     return rig.proxy.usage.homes.for_workspace("north")[0]
 
 
 def test_below_its_cap_nothing_is_refused():
-    """Symptom: a workspace well below its cap is refused at some daemons.
+    """Guards against refusing a workspace that is well below its cap.
 
-    Sequence: its callers are uneven: all come to one daemon. Cause: each daemon kept a
-    share of the cap.
+    All of its callers come to one daemon, and each daemon enforced a fixed share of the
+    cap.
     """
 
     async def main():
@@ -166,10 +166,10 @@
 @pytest.mark.parametrize("rate", [20.0, 300.0])
 @pytest.mark.parametrize("fault", ["kill", "freeze", "cut"])
 def test_the_cap_holds_while_its_home_is_away(fault, rate):
-    """Symptom: a workspace gets twice its cap, or nothing, while a daemon is away.
+    """Guards against a workspace that gets twice its cap, or nothing.
 
-    Sequence: the daemon that counts for it is killed, stands still, or loses the
-    others; it comes back. Cause: nobody counted, or two did with full buckets.
+    Its home is killed, frozen or cut off from the other daemons, and comes back. No
+    daemon granted operations, or two did with full buckets.
     """
 
     async def main():
@@ -219,10 +219,10 @@
 
 @pytest.mark.parametrize("behind", [True, False])
 def test_the_newer_cap_counts_where_home_and_daemon_differ(behind):
-    """Symptom: a cap that was lowered long ago is exceeded, or a raised one refused.
+    """Guards against exceeding a lowered cap, or refusing below a raised one.
 
-    Sequence: the home, or the daemons that ask it, are out of the store's reach. Cause:
-    one of them went by its own configuration alone.
+    The home, or the daemons that ask it, do not reach the store, and one of them used
+    its own configuration alone.
     """
 
     async def main():
@@ -263,11 +263,11 @@
 
 
 def test_operations_at_a_daemon_that_is_cut_off_are_decided_at_once():
-    """Symptom: at a daemon that is cut off an operation is late every second.
+    """Guards against a late operation every second at an isolated daemon.
 
-    Sequence: it asks the homes, none answers, it grants its own part; a second later it
-    asks them again, and some caller waits for all of them. Cause: callers' operations
-    were used to find out whether a home is back.
+    It asks the homes, none answers, and it grants its own share. If callers' operations
+    are used to find out whether a home is back, one of them waits for all homes each
+    second.
     """
 
     async def main():
@@ -308,29 +308,29 @@
 
 
 class DaemonFaults:
-    """One daemon after the other is away for a while, and comes back."""
+    """Makes one daemon after the other unavailable for a while."""
 
     def __init__(self, *, rig, rng):
         self.rig = rig
         self.rng = rng
-        # Daemons that take callers: also one that is merely cut off.
+        # Daemons that serve callers, including isolated ones.
         self.serving = list(rig.proxies)
 
     async def run(self, times):
-        """So many daemons in turn."""
+        """Make the given number of random daemons unavailable, one at a time."""
         for _ in range(times):
             proxy = self.rng.choice(self.rig.proxies)
             await getattr(self, self.rng.choice(["killed", "frozen", "cut_off"]))(proxy)
             await asyncio.sleep(self.rng.random() * 2.5)
 
     async def stop_serving(self, proxy):
-        """It serves nobody for a while."""
+        """Send a daemon no callers for a while."""
         self.serving.remove(proxy)
         await asyncio.sleep(self.rng.random() * 2.5)
         self.serving.append(proxy)
 
     async def killed(self, proxy):
-        """Its process ends, and starts with nothing of before."""
+        """End a daemon's process and restart it without state."""
         self.rig.links.kill(proxy.name)
         await self.stop_serving(proxy)
         self.rig.links.dead.discard(proxy.name)
@@ -338,13 +338,13 @@
         proxy.usage.daemons_changed()
 
     async def frozen(self, proxy):
-        """It stands still."""
+        """Freeze and resume a daemon."""
         self.rig.links.freeze(proxy.name)
         await self.stop_serving(proxy)
         self.rig.links.thaw(proxy.name)
 
     async def cut_off(self, proxy):
-        """It reaches no other daemon, and serves on."""
+        """Isolate a daemon from all others; it continues to serve callers."""
         pairs = {frozenset({proxy.name, other.name}) for other in self.rig.proxies}
         self.rig.links.cut |= pairs
         await asyncio.sleep(self.rng.random() * 4)
@@ -366,7 +366,7 @@
 
 
 def test_a_planted_break_is_noticed(monkeypatch):
-    """The check of windows finds a home that grants whatever is asked."""
+    """The window check detects a home that grants every request."""
 
     def grant_all(self, workspace, wanted, cap, rank):
         return GrantResponse(call=0, granted=wanted)
--- a/tests/sessions/test_warm_links.py
+++ b/tests/sessions/test_warm_links.py
@@ -1,4 +1,4 @@
-"""Links to owners are open before they are needed, where the owners are few."""
+"""Links to owners are opened before they are needed, if there are few owners."""
 
 import asyncio
 
@@ -7,15 +7,15 @@
 from tests.sessions.owners import owners_rig
 from tests.sessions.vclock import run
 
-# Seconds in which all links are open: one each quarter of a second.
+# Seconds in which all links are open: one is opened each quarter of a second.
 SOON = START_DELAY + 2.0
 
 
 def test_links_to_owners_are_open_before_the_first_statement():
-    """Symptom: the first statements of a day take twice as long as later ones.
+    """Guards against first statements that take twice as long as later ones.
 
-    Sequence: many daemons share a little work; each asks an owner for the first time
-    now and then, and waits for the link. Cause: links were opened by statements.
+    Many daemons share little work, so each one often sends its first statement to an
+    owner and waits for the link, if links are opened by statements only.
     """
 
     async def main():
