--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -20,7 +20,7 @@
 SETTLED = 6.0
 
 
-def test_a_follower_that_missed_a_large_change_does_not_rest():
+def test_a_follower_that_missed_a_large_change_catches_up():
     """Guards against a follower that takes itself for up to date after a missed change.
 
     Seven of 74 daemons used configuration 4 until the 23rd second, while 16 was in
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["busy", "silent"])
-def test_who_does_not_reach_the_store_gets_large_lists_from_a_watcher(trouble):
+def test_a_daemon_without_the_store_gets_large_lists_from_a_watcher(trouble):
     """Guards against refusing a route that was added 15 s before.
 
     The store rejects the calls of a third of the daemons, or does not answer them, and
@@ -128,7 +128,7 @@
     run(main())
 
 
-def test_a_watcher_that_is_turned_away_is_left_for_one_that_is_not():
+def test_a_watcher_rejected_by_the_store_is_replaced():
     """Guards against an old configuration at all followers of one watcher.
 
     The store rejects the calls of the watcher and of its followers. The watcher was
@@ -148,7 +148,7 @@
     run(main())
 
 
-def test_who_watches_again_passes_on_all_that_it_missed_as_a_watcher():
+def test_a_daemon_that_watches_again_relays_what_it_missed():
     """Guards against a replaced upstream that some daemons keep.
 
     A watcher follows another one for a while, watches again, and a daemon begins to
@@ -174,7 +174,7 @@
     run(main())
 
 
-def test_a_calm_fleet_leaves_the_store_to_its_watchers():
+def test_up_to_date_followers_do_not_call_the_store():
     """Followers that are up to date make no calls, even if other kinds change."""
 
     async def main():
@@ -191,7 +191,7 @@
     run(main())
 
 
-def test_a_large_change_reaches_followers_by_way_of_their_watchers():
+def test_a_large_change_reaches_followers_through_their_watchers():
     """Load: a large configuration changes, and all daemons have links of 5 Mbit/s.
 
     A follower that reads it from the store occupies its link for half a second, and
@@ -212,7 +212,7 @@
     run(main())
 
 
-def test_followers_of_a_watcher_whose_store_falls_silent_are_in_time():
+def test_followers_of_a_watcher_with_a_silent_store_are_in_time():
     """Guards against a watcher that confirms feeds while its own watch hangs."""
 
     async def main():
@@ -292,7 +292,7 @@
 
 @pytest.mark.parametrize("daemons", [15, 6])
 @pytest.mark.parametrize("seed", range(12))
-def test_nobody_stays_behind_whatever_happens(seed, daemons):
+def test_no_daemon_stays_behind_under_random_faults(seed, daemons):
     """Daemons that reach an up-to-date daemon are not behind for longer than the bound.
 
     Small and large changes are made while some daemons do not reach the store, daemons
@@ -337,7 +337,7 @@
                 run(random_run(seed, daemons))
 
 
-def test_followers_of_a_watcher_that_leaves_have_another_before_it_ends():
+def test_followers_of_a_draining_watcher_have_another_before_it_ends():
     """Guards against daemons that use an old configuration during a rolling restart.
 
     A watcher is told to stop; a change is made a moment later, and one more after its
--- a/tests/sessions/test_fleet_start.py
+++ b/tests/sessions/test_fleet_start.py
@@ -44,7 +44,7 @@
     assert sum(large.values()) <= 1.1 * sum(smaller.values())
 
 
-def test_a_fleet_that_starts_leaves_groups_to_their_owners():
+def test_starting_daemons_leave_groups_to_their_owners():
     """Guards against starting daemons that each take on all groups.
 
     300 daemons used all of their CPU time and the upstreams' connections before the
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("seed", [2, 3])
-def test_everybody_knows_of_a_daemon_that_comes_later(seed):
+def test_all_daemons_know_of_one_that_starts_later(seed):
     """A daemon that waits for a watcher misses no entry."""
 
     async def main():
--- a/tests/sessions/test_fleet_store_return.py
+++ b/tests/sessions/test_fleet_store_return.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("daemons", [9, 65, 195])
-def test_lost_entries_and_the_key_are_written_again_without_a_rush(daemons):
+def test_lost_entries_and_the_key_are_rewritten_at_a_limited_rate(daemons):
     """Guards against a fleet unknown to new daemons, which use another key."""
 
     async def main():
@@ -69,7 +69,7 @@
     return [DaemonEntry(id=name, domain="a", revision=1) for name in names]
 
 
-def test_who_stays_off_the_list_is_dropped_after_its_looks():
+def test_a_daemon_off_the_list_is_dropped_after_its_checks():
     daemons = DaemonRegistry(own=DaemonEntry(id="d1", domain="a"))
     daemons.take_all(entries("d1", "d2", "d3"))
     daemons.take_all(entries("d1"))
@@ -82,6 +82,6 @@
     assert set(daemons.known) == {"d1", "d3"}
 
 
-def test_a_large_fleet_writes_for_as_long_as_its_daemons_keep_their_places():
+def test_a_large_fleet_rewrites_entries_within_the_grace_period():
     assert rewrite_pause(4000, 1.0) == 4000 / REWRITES_PER_S
     assert missing_for(4000) > rewrite_pause(4000, 1.0)
--- a/tests/sessions/test_peer_messages.py
+++ b/tests/sessions/test_peer_messages.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("name", FIELD_ORDER)
-def test_fields_keep_their_places(name):
+def test_fields_keep_their_positions(name):
     """Guards against a field added in the middle of a message.
 
     During a rolling upgrade it fails with `Expected `float`, got `bool` - at `$[8]``,
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("name", FIRST_VERSION)
-def test_fields_that_came_later_may_be_missing(name):
+def test_fields_added_later_may_be_missing(name):
     message = getattr(peermessages, name)
     later = FIELD_ORDER[name].split()[FIRST_VERSION[name] :]
     assert later
@@ -61,7 +61,7 @@
     assert len(message.__struct_defaults__) >= len(later)
 
 
-def test_messages_of_another_version_are_understood():
+def test_messages_of_another_version_are_decoded():
     answer = StatementResponse(
         call=7, reply=Reply(), floor=Position(term=1, index=2), unable=True
     )
--- a/tests/sessions/test_registry.py
+++ b/tests/sessions/test_registry.py
@@ -8,7 +8,7 @@
 FLEET = 300
 
 
-def test_a_swarm_of_entries_is_ordered_once(monkeypatch):
+def test_a_burst_of_entries_is_ordered_once(monkeypatch):
     """Guards against 300 starting daemons that use all of their CPU time for seconds.
 
     Each daemon hears of all others one by one. Each entry reordered the daemons of its
@@ -28,7 +28,7 @@
     assert len(updates) == 1
 
 
-def test_every_change_is_seen_by_the_next_question():
+def test_every_change_is_seen_by_the_next_call():
     daemons = DaemonRegistry(own=DaemonEntry(id="d0", domain="a"))
     assert daemons.owners(SPEC) == ["d0"]
     daemons.add(DaemonEntry(id="d1", domain="b"))
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -59,12 +59,12 @@
     return rig.links.proxies[follower.following.link.peer]
 
 
-def test_a_few_watch_and_small_fleets_all_do():
+def test_a_few_daemons_watch_and_in_small_fleets_all_do():
     assert watcher_count(91, 3) == 6
     assert watcher_count(9, 3) == 9
 
 
-def test_news_come_in_order_and_once():
+def test_updates_arrive_in_order_and_once():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
@@ -79,7 +79,7 @@
     run(main())
 
 
-def test_one_that_begins_to_follow_late_gets_the_whole_list():
+def test_a_late_follower_gets_the_whole_list():
     async def main():
         rig, follower, watchers = await make_rig()
         late = next(
@@ -98,7 +98,7 @@
     run(main())
 
 
-def test_a_watcher_that_falls_silent_is_left_for_another():
+def test_a_silent_watcher_is_replaced():
     """Guards against a daemon that uses an outdated configuration.
 
     The watcher that it follows freezes, and nothing distinguished missing updates from
@@ -118,7 +118,7 @@
     run(main())
 
 
-def test_a_watcher_without_the_store_is_left_for_one_that_is_in_touch():
+def test_a_watcher_without_confirmed_feeds_is_replaced():
     """Guards against an outdated configuration while the watcher is alive.
 
     The watcher is cut off from the store, other watchers are not. It was followed
@@ -136,7 +136,7 @@
     run(main())
 
 
-def test_watchers_without_the_store_vouch_for_nothing():
+def test_watchers_without_the_store_confirm_nothing():
     async def main():
         rig, follower, watchers = await make_rig()
         for proxy in watchers:
@@ -147,7 +147,7 @@
     run(main())
 
 
-def test_who_knows_more_than_its_watcher_takes_what_follows_on_it():
+def test_a_follower_ahead_of_its_watcher_applies_later_updates():
     """A follower ahead of its watcher is up to date.
 
     It has asked the store itself. Its watcher is confirmed by the store, and sends all
@@ -167,7 +167,7 @@
     run(main())
 
 
-def test_news_with_a_gap_before_them_are_not_taken():
+def test_updates_after_a_gap_are_not_applied():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
@@ -181,7 +181,7 @@
     run(main())
 
 
-def test_news_that_are_too_large_are_left_to_the_store():
+def test_updates_that_are_too_large_are_not_relayed():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
@@ -193,7 +193,7 @@
     run(main())
 
 
-def test_a_whole_list_comes_in_pieces_when_it_is_asked_for():
+def test_a_whole_list_is_sent_in_pieces_on_request():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
@@ -224,7 +224,7 @@
         unpack(pieces)
 
 
-def test_who_has_the_last_change_is_current():
+def test_a_daemon_with_the_last_change_is_current():
     assert is_current(known=12, since=12)
     assert is_current(known=13, since=12)
     assert not is_current(known=11, since=12)
@@ -237,7 +237,7 @@
     assert not continues(known=15, since=10, revision=15)
 
 
-def test_what_a_watcher_sent_that_was_left_does_not_count():
+def test_updates_of_a_previous_watcher_are_discarded():
     """Guards against a removed upstream that reappears in a daemon's list.
 
     Updates are in flight or not applied yet when their watcher is left for another one
@@ -267,7 +267,7 @@
     run(main())
 
 
-def test_a_follower_that_stood_still_takes_in_what_came_meanwhile():
+def test_a_suspended_follower_applies_queued_updates():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -78,7 +78,7 @@
     run(main())
 
 
-def test_a_read_is_asked_elsewhere_when_its_owner_goes_silent():
+def test_a_read_is_retried_elsewhere_when_its_owner_becomes_silent():
     """Guards against reads of a healthy group that take until their deadline.
 
     An owner freezes while a read is on its way, and the daemon that sent it waited for
@@ -97,7 +97,7 @@
     run(main())
 
 
-def test_a_write_at_an_owner_that_went_silent_is_in_doubt_and_not_repeated():
+def test_a_write_at_a_silent_owner_is_in_doubt_and_not_repeated():
     """Guards against a write that takes effect twice.
 
     An owner freezes while a write is on its way, and resumes. The write was also sent
@@ -119,7 +119,7 @@
     run(main())
 
 
-def test_a_write_that_never_left_goes_to_the_next_owner():
+def test_a_write_that_was_never_sent_goes_to_the_next_owner():
     async def main():
         rig = await make_rig()
         caller = rig.caller("own", rig.others()[0])
@@ -182,7 +182,7 @@
     run(main())
 
 
-def test_an_owner_that_leaves_gets_no_new_work_and_ends_what_it_has():
+def test_a_draining_owner_gets_no_new_work_and_finishes_its_transactions():
     async def main():
         rig = await make_rig()
         other = rig.others()[0]
@@ -203,7 +203,7 @@
     run(main())
 
 
-def test_an_owner_that_has_to_end_says_so_to_the_next_statement():
+def test_the_next_statement_of_an_ended_transaction_is_refused():
     async def main():
         rig = await make_rig()
         caller, owner = await open_transaction(rig)
@@ -216,7 +216,7 @@
     run(main())
 
 
-def test_a_caller_that_leaves_ends_its_transaction_at_the_owner():
+def test_a_closed_session_ends_its_transaction_at_the_owner():
     async def main():
         rig = await make_rig()
         caller, _ = await open_transaction(rig)
@@ -229,7 +229,7 @@
     run(main())
 
 
-def test_work_is_refused_with_a_time_to_come_back_when_no_owner_answers():
+def test_work_is_refused_with_a_retry_time_when_no_owner_answers():
     async def main():
         rig = await make_rig()
         caller = rig.caller("own", rig.others()[0])
@@ -241,7 +241,7 @@
     run(main())
 
 
-def test_a_read_that_may_have_run_is_not_said_not_to_have():
+def test_a_read_that_may_have_run_is_not_reported_as_not_run():
     async def main():
         rig = await make_rig()
         caller = rig.caller("own", rig.others()[0])
@@ -255,7 +255,7 @@
     run(main())
 
 
-def test_a_daemon_that_does_not_own_serves_those_who_reach_no_owner():
+def test_a_standby_serves_when_no_owner_is_reachable():
     """Guards against a group without service while half of the daemons live.
 
     All owners of a group are killed together, and no other daemon accepted its
@@ -273,7 +273,7 @@
     run(main())
 
 
-def test_messages_come_through_whole():
+def test_messages_survive_encoding_and_decoding():
     statement = Statement(kind=StatementKind.READ, text="READ a")
     rig_route = None
 
--- a/tests/sessions/test_slow_owner.py
+++ b/tests/sessions/test_slow_owner.py
@@ -32,7 +32,7 @@
     results.append((began, rig.loop.time() - began, reply.ok))
 
 
-def test_callers_leave_an_owner_whose_machine_is_slow():
+def test_statements_move_away_from_a_slow_owner():
     """Guards against preferring a near owner however slow its answers are.
 
     Two of 24 owners, on slow machines, refused 1,755 statements and answered the others
@@ -56,7 +56,7 @@
     run(main())
 
 
-def test_an_owner_that_is_well_again_is_asked_again():
+def test_a_recovered_owner_is_preferred_again():
     async def main():
         rig = await owners_rig()
         other = rig.others()[0]
@@ -71,7 +71,7 @@
     run(main())
 
 
-def test_what_one_owners_queue_refuses_another_one_runs():
+def test_a_statement_refused_by_one_owners_queue_runs_at_another():
     """Guards against refusals of a full owner while other owners have no queue.
 
     The owner that is tried first has work for a second queued, and its refusal, `not
--- a/tests/sessions/test_store_return.py
+++ b/tests/sessions/test_store_return.py
@@ -52,7 +52,7 @@
     await rig.wait_in_sync(BOUND)
 
 
-def test_changes_under_revisions_that_are_given_out_again_are_in_force_in_time():
+def test_changes_under_reused_revisions_are_in_force_in_time():
     """Guards against comparing revisions of two eras of the store."""
     run(revisions_reused())
 
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("daemons", [15, 6])
-def test_what_a_new_history_removed_is_not_kept(daemons):
+def test_objects_removed_in_a_new_era_are_not_kept(daemons):
     """Guards against missing changes below the revision known from the lost era."""
     run(removals_in_a_new_history(daemons))
 
@@ -121,12 +121,12 @@
 
 @pytest.mark.parametrize("daemons", [15, 6])
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_nobody_stays_in_a_lost_history_whatever_happens(seed, daemons):
+def test_no_daemon_stays_in_a_lost_era_under_random_faults(seed, daemons):
     """Guards against daemons that mix the contents of two eras of the store."""
     run(random_run(seed, daemons))
 
 
-def test_a_fleet_that_does_not_tell_eras_apart_is_noticed(monkeypatch):
+def test_random_runs_detect_missing_eras(monkeypatch):
     """Checks that the random runs find a missing distinction of eras."""
     monkeypatch.setattr(feedrig, "in_era", lambda era, number: number)
     with pytest.raises(AssertionError):
@@ -142,13 +142,13 @@
     assert not feed.behind and feed.ahead
 
 
-def test_who_knows_a_lost_history_is_behind_a_watcher_in_the_new_one():
+def test_a_follower_in_a_lost_era_is_behind_a_watcher_in_the_new_one():
     """Guards against a follower that relies on the revisions of a lost era."""
     new = FeedState(since=in_era(1, 90), revision=in_era(2, 91))
     assert WatchedFeed(known=in_era(1, 93), state=new).behind
 
 
-def test_a_list_that_is_the_same_in_a_new_era_counts_as_changed():
+def test_an_equal_list_in_a_new_era_counts_as_changed():
     """Guards against followers that keep objects whose removal they have missed."""
     relay = Relay(clock=lambda: 0.0, in_touch_for=5.0, watches=lambda: True)
     relay.take_all("things", {}, in_era(1, 5))
--- a/tests/sessions/test_usage.py
+++ b/tests/sessions/test_usage.py
@@ -111,7 +111,7 @@
     run(main())
 
 
-def test_a_hot_workspace_gets_its_cap_and_no_more():
+def test_an_overloaded_workspace_gets_its_cap_and_no_more():
     async def main():
         rig = await capped_rig()
         await Load(rig=rig).run(5.0, 3.0)
@@ -127,7 +127,7 @@
     run(main())
 
 
-def test_a_refusal_comes_at_once_and_reaches_no_upstream():
+def test_a_refusal_is_immediate_and_reaches_no_upstream():
     async def main():
         rig = await capped_rig()
         load = Load(rig=rig)
@@ -154,7 +154,7 @@
     run(main())
 
 
-def test_a_workspace_without_a_cap_asks_nobody():
+def test_a_workspace_without_a_cap_sends_no_requests():
     async def main():
         rig = await capped_rig()
         assert (await rig.caller("bounded", key="s1").send("READ a")).ok
@@ -165,7 +165,7 @@
 
 @pytest.mark.parametrize("rate", [20.0, 300.0])
 @pytest.mark.parametrize("fault", ["kill", "freeze", "cut"])
-def test_the_cap_holds_while_its_home_is_away(fault, rate):
+def test_the_cap_holds_while_its_home_is_unavailable(fault, rate):
     """Guards against a workspace that gets twice its cap, or nothing.
 
     Its home is killed, frozen or cut off from the other daemons, and comes back. No
@@ -201,7 +201,7 @@
     run(main())
 
 
-def test_a_lower_cap_counts_within_a_window_of_its_coming():
+def test_a_lower_cap_takes_effect_within_a_window():
     async def main():
         rig = await capped_rig()
         load = Load(rig=rig)
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("behind", [True, False])
-def test_the_newer_cap_counts_where_home_and_daemon_differ(behind):
+def test_the_newer_cap_applies_if_home_and_daemon_differ(behind):
     """Guards against exceeding a lowered cap, or refusing below a raised one.
 
     The home, or the daemons that ask it, do not reach the store, and one of them used
@@ -240,7 +240,7 @@
     run(main())
 
 
-def test_a_daemon_that_reaches_no_other_lets_little_through():
+def test_an_isolated_daemon_grants_little():
     async def main():
         rig = await capped_rig(daemons=12)
         alone = [
@@ -262,7 +262,7 @@
     run(main())
 
 
-def test_operations_at_a_daemon_that_is_cut_off_are_decided_at_once():
+def test_operations_at_an_isolated_daemon_are_decided_immediately():
     """Guards against a late operation every second at an isolated daemon.
 
     It asks the homes, none answers, and it grants its own share. If callers' operations
--- a/tests/sessions/test_warm_links.py
+++ b/tests/sessions/test_warm_links.py
@@ -30,7 +30,7 @@
     run(main())
 
 
-def test_where_owners_are_many_links_are_opened_by_use(monkeypatch):
+def test_with_many_owners_links_are_opened_on_demand(monkeypatch):
     async def main():
         monkeypatch.setattr(warmlinks, "MOST_WARM", 2)
         rig = await owners_rig()
@@ -39,7 +39,7 @@
     run(main())
 
 
-def test_an_owner_that_is_away_is_not_dialled_again_and_again():
+def test_an_unreachable_owner_is_not_dialled_repeatedly():
     async def main():
         rig = await owners_rig()
         gone = rig.owners()[0].name
