--- a/packages/sessions/gypsum_sessions/callers/drain.py
+++ b/packages/sessions/gypsum_sessions/callers/drain.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from gypsum_policy.draining import DrainPlan, accepts_work, session_share_to_close
-from gypsum_sessions.daemons.standins import StandIns
+from gypsum_sessions.daemons.standbys import StandbyOwners
 from gypsum_sessions.interfaces import Clock
 from gypsum_sessions.replies import SessionState
 
@@ -59,11 +59,11 @@
         PART, "started", callers=len(proxy.callers), links=len(proxy.peer_handlers)
     )
     for handler in list(proxy.peer_handlers):
-        handler.tell_leaving()
-    stand_ins = StandIns(proxy=proxy)
+        handler.send_leaving()
+    standbys = StandbyOwners(proxy=proxy)
     listening = True
     while drain_state.elapsed < plan.exit_by:
-        stand_ins.look()
+        standbys.notify_standbys()
         if listening and drain_state.elapsed >= plan.stop_listening_at:
             listening = False
             stop_listening()
@@ -110,7 +110,7 @@
             )
             await session.abort_transaction()
     for handler in list(proxy.peer_handlers):
-        handler.end_waiting()
+        handler.end_idle_transactions()
 
 
 def serves_peers(proxy):
--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -110,7 +110,7 @@
         Called once for each operation, before it waits for anything else.
         """
         workspace = self.credential.workspace
-        wait = await self.proxy.usage.leave(workspace) if workspace else 0.0
+        wait = await self.proxy.usage.acquire(workspace) if workspace else 0.0
         if not wait:
             return None
         return Reply(
--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -1,6 +1,6 @@
-"""News of the store, passed on from a daemon that watches it to those that follow.
+"""Relays feed updates from a daemon that watches the store to its followers.
 
-A feed is one kind of objects, named by a word; its objects are passed on as they are.
+A feed is one kind of objects; the objects are relayed unchanged.
 """
 
 import asyncio
@@ -13,101 +13,109 @@
     PIECE_BYTES,
 )
 from gypsum_policy.revisions import same_era
-from gypsum_sessions.daemons.asks import Current, FeedState, News, Piece, encode
 from gypsum_sessions.daemons.packing import pack
+from gypsum_sessions.daemons.peermessages import (
+    FeedState,
+    FeedUpdate,
+    Heartbeat,
+    ListPiece,
+    encode,
+)
 
 
 @dataclass(slots=True, kw_only=True)
-class KnownFeed:
-    """What a watcher knows of a feed: its objects by name, and how far.
+class RelayedFeed:
+    """A watcher's copy of a feed: objects by name, and revisions.
 
-    It is known up to `revision`, and has not changed since `since`. `touched_at` is
-    when the store last answered; `pieces` is the packed list, made when asked for.
+    It is known up to `revision`, and has not changed since `since`. `answered_at` is
+    when the store last answered. `pieces` is the packed list, built on first request.
     """
 
     objects: dict = field(default_factory=dict)
     revision: int = 0
     since: int = 0
-    touched_at: float = float("-inf")
-    pieces: list[Piece] = field(default_factory=list)
+    answered_at: float = float("-inf")
+    pieces: list[ListPiece] = field(default_factory=list)
 
 
 class Relay:
-    """Keeps feeds, and passes their news on to those who follow.
+    """Keeps feeds, and sends their updates to followers.
 
-    `watches` tells whether this daemon is one that watches the store. A feed is
-    confirmed for `in_touch_for` seconds after the store's last answer, or for its own
-    time in `limits`.
+    `watches` tells whether this daemon watches the store. A feed is confirmed for
+    `in_touch_for` seconds after the store's last answer, or for its own time in
+    `confirmation_times`.
     """
 
     def __init__(self, *, clock, in_touch_for, watches):
         self.clock = clock
         self.watches = watches
         self.in_touch_for = in_touch_for
-        self.limits = {}
+        self.confirmation_times = {}
         self.feeds = {}
         self.followers = set()
         self.sending = set()
 
-    # What this daemon learns of the store
+    # State received from the store
 
-    def confirm_for(self, name, seconds):
-        """Confirm a feed for so long after the store's last answer."""
-        self.limits[name] = seconds
+    def set_confirmation_time(self, name, seconds):
+        """Set for how long a feed is confirmed after the store's last answer."""
+        self.confirmation_times[name] = seconds
 
-    def in_touch(self, name, feed):
-        """Tell whether the store has answered for a feed lately."""
-        limit = self.limits.get(name, self.in_touch_for)
-        return bool(feed.revision) and self.clock() - feed.touched_at < limit
+    def is_confirmed(self, name, feed):
+        """Tell whether the store has answered for a feed recently."""
+        limit = self.confirmation_times.get(name, self.in_touch_for)
+        return bool(feed.revision) and self.clock() - feed.answered_at < limit
 
-    def knows(self, name):
-        """Tell whether all of a feed is kept here."""
+    def has_feed(self, name):
+        """Tell whether a complete copy of a feed is kept here."""
         return name in self.feeds
 
-    def forget(self, name):
-        """This daemon learns of a feed without us: what is kept here is out of date.
+    def drop_feed(self, name):
+        """Discard a feed that this daemon now gets from elsewhere.
 
-        What goes wrong without it: a daemon follows for a while, watches again, and
-        passes on a list without what changed in between.
+        If the copy were kept, a daemon that follows for a while and then watches again
+        would relay a list without the changes made in between.
         """
         self.feeds.pop(name, None)
 
-    def touched(self, name):
-        """The store has answered for a feed."""
+    def store_answered(self, name):
+        """Record that the store has answered for a feed."""
         if name in self.feeds:
-            self.feeds[name].touched_at = self.clock()
+            self.feeds[name].answered_at = self.clock()
 
-    def out_of_touch(self, name):
-        """The store did not answer for a feed: nothing is vouched for until it does."""
+    def store_unreachable(self, name):
+        """Mark a feed as unconfirmed until the store answers for it again."""
         if name in self.feeds:
-            self.feeds[name].touched_at = float("-inf")
+            self.feeds[name].answered_at = float("-inf")
 
     def take_all(self, name, objects, revision):
-        """A whole list came: objects by name."""
-        feed = self.feeds.setdefault(name, KnownFeed())
+        """Replace a feed by a whole list of objects by name."""
+        feed = self.feeds.setdefault(name, RelayedFeed())
         # Followers may know changes of the earlier era that this list lacks.
         same_history = feed.revision and same_era(feed.revision, revision)
         same = same_history and feed.objects == objects
         feed.objects, feed.revision = dict(objects), revision
-        self.touched(name)
+        self.store_answered(name)
         if same:
             return
-        self.changed(feed)
-        self.pass_on(News(feed=name, revision=revision, whole=True, changed=objects))
+        self.mark_changed(feed)
+        self.publish(
+            FeedUpdate(feed=name, revision=revision, whole=True, changed=objects)
+        )
 
     def take_changes(self, name, changed, removed, revision):
-        """Changes came: objects by name, and names of those removed."""
+        """Apply changed objects by name, and names of removed objects."""
         feed = self.feeds[name]
-        self.touched(name)
+        self.store_answered(name)
         feed.objects.update(changed)
         for gone in removed:
             feed.objects.pop(gone, None)
         before, feed.revision = feed.revision, revision
         if not changed and not removed:
             return
-        self.changed(feed)
-        self.pass_on(
-            News(
+        self.mark_changed(feed)
+        self.publish(
+            FeedUpdate(
                 feed=name,
                 since=before,
                 revision=revision,
@@ -116,97 +124,101 @@
             )
         )
 
-    def changed(self, feed):
-        """A feed is another one since the revision that it is known up to."""
+    def mark_changed(self, feed):
+        """Record that a feed changed at its current revision."""
         feed.since = feed.revision
         feed.pieces = []
 
-    # What others learn of it
+    # Messages to followers
 
-    def pass_on(self, news):
-        """Send news to all who follow; of those that are too large only that they are.
+    def publish(self, update):
+        """Send an update to all followers; only a heartbeat if it is too large.
 
-        Who reads that a feed has changed since what it knows asks the store, or us.
+        A follower that learns from the heartbeat that the feed has changed fetches the
+        list from the watcher or the store.
         """
         if not self.followers:
             return
-        data = encode(news)
+        data = encode(update)
         if len(data) > MAX_CHANGE_BYTES:
-            data = encode(self.current())
-        self.send_all(data)
-
-    def send_all(self, data):
-        """Send a message to all who follow; forget those whose link is gone."""
-        self.followers = {desk for desk in self.followers if not desk.closed}
-        for desk in self.followers:
-            desk.frames.send(data)
-
-    def follow(self, desk, revisions):
-        """A daemon follows from the revisions that it knows."""
-        self.followers.add(desk)
+            data = encode(self.heartbeat())
+        self.broadcast(data)
+
+    def broadcast(self, data):
+        """Send a message to all followers; forget those whose link is closed."""
+        self.followers = {handler for handler in self.followers if not handler.closed}
+        for handler in self.followers:
+            handler.frames.send(data)
+
+    def follow(self, handler, revisions):
+        """Add a follower, and send it the feeds that changed after the given revisions.
+
+        Lists that are too large are left out; the follower requests them.
+        """
+        self.followers.add(handler)
         for name, revision in revisions.items():
             feed = self.feeds.get(name)
             if feed is None or revision >= feed.since:
                 continue
-            whole = News(
+            whole = FeedUpdate(
                 feed=name, revision=feed.revision, whole=True, changed=feed.objects
             )
             data = encode(whole)
             if len(data) <= MAX_CHANGE_BYTES:
-                desk.frames.send(data)
-        desk.frames.send(encode(self.current()))
+                handler.frames.send(data)
+        handler.frames.send(encode(self.heartbeat()))
 
-    def unfollow(self, desk):
-        """A daemon follows no more."""
-        self.followers.discard(desk)
+    def unfollow(self, handler):
+        """Remove a follower."""
+        self.followers.discard(handler)
 
-    def current(self):
-        """Feeds that are in touch with the store, and how far they are known."""
-        return Current(
+    def heartbeat(self):
+        """The confirmed feeds, and up to which revision they are known."""
+        return Heartbeat(
             feeds={
                 name: FeedState(since=feed.since, revision=feed.revision)
                 for name, feed in self.feeds.items()
-                if self.in_touch(name, feed)
+                if self.is_confirmed(name, feed)
             },
             watches=self.watches(),
         )
 
-    async def send_whole(self, desk, name):
+    async def send_whole(self, handler, name):
         """Send a feed's whole list in pieces, as fast as the link takes them.
 
-        What goes wrong in one go: statements of the same link wait behind it.
+        Sent in one message, it would delay statements on the same link.
         """
-        if (desk, name) in self.sending:
+        if (handler, name) in self.sending:
             return
-        self.sending.add((desk, name))
+        self.sending.add((handler, name))
         try:
-            while not await self.send_pieces(desk, name):
+            while not await self.send_pieces(handler, name):
                 pass
         finally:
-            self.sending.discard((desk, name))
+            self.sending.discard((handler, name))
 
-    async def send_pieces(self, desk, name):
-        """Send what is known now; False if it has changed meanwhile."""
+    async def send_pieces(self, handler, name):
+        """Send the current list; returns False if the feed changes meanwhile."""
         feed = self.feeds.get(name)
         if feed is None:
             return True
         since = feed.since
-        for piece in self.packed(name, feed):
-            while desk.frames.backlog > PIECE_BYTES:
+        for piece in self.packed_pieces(name, feed):
+            while handler.frames.backlog > PIECE_BYTES:
                 await asyncio.sleep(BACKLOG_POLL_INTERVAL)
-            if desk.closed or desk not in self.followers:
+            if handler.closed or handler not in self.followers:
                 return True
             if feed.since != since:
                 return False
-            desk.frames.send(encode(piece))
+            handler.frames.send(encode(piece))
         return True
 
-    def packed(self, name, feed):
-        """The pieces of a feed's list; all who ask for the same one share them."""
+    def packed_pieces(self, name, feed):
+        """The pieces of a feed's list, shared by all followers that request it."""
         if not feed.pieces:
             parts = pack(feed.objects)
             feed.pieces = [
-                Piece(
+                ListPiece(
                     feed=name,
                     revision=feed.revision,
                     number=number,
@@ -218,8 +230,8 @@
         return feed.pieces
 
     async def run(self):
-        """Say which feeds are in touch, for ever."""
+        """Send heartbeats to followers; runs forever."""
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL)
             if self.followers:
-                self.send_all(encode(self.current()))
+                self.broadcast(encode(self.heartbeat()))
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -1,10 +1,10 @@
-"""A group whose connections other daemons hold: statements go to one of its owners.
+"""Remote access to a group: statements are sent to one of its owners.
 
-Truth over the hop: a statement that never left, or that an owner says has not run, is
-tried at the next owner. A read is asked again elsewhere when its owner went silent. A
-write or COMMIT that may have left is in doubt. A transaction whose link broke before
-COMMIT was sent is rolled back: its number means nothing on any other link, so no
-COMMIT can reach it any more.
+A statement that was never sent, or that an owner reports as not run, is tried at the
+next owner. A read is sent to another owner if the first one becomes silent. A write or
+COMMIT that may have been sent is in doubt. A transaction whose link breaks before
+COMMIT is sent is rolled back: its number is valid on that link only, so no COMMIT can
+reach it any more.
 """
 
 import asyncio
@@ -12,23 +12,29 @@
 
 from gypsum_policy.ownership import is_last_resort
 from gypsum_sessions.catalog import Route
-from gypsum_sessions.daemons.asks import Answer, Ask, EndTransaction
+from gypsum_sessions.daemons.peermessages import (
+    EndTransaction,
+    StatementRequest,
+    StatementResponse,
+)
 from gypsum_sessions.daemons.peers import PeerLost
-from gypsum_sessions.daemons.standins import STAND_INS
+from gypsum_sessions.daemons.standbys import CANDIDATES_PER_OWNER
 from gypsum_sessions.execution.transactions import aborted_reply
 from gypsum_sessions.replies import Refusal, Reply
 
 PART = "remote"
-# An owner answers a statement by its deadline; the way back takes a little longer.
+# An owner answers a statement by its deadline; the response needs a little longer to
+# arrive.
 ANSWER_MARGIN = 0.15
-# Pause before the owners are asked once more, seconds: they may just be starting.
-ROUND_PAUSE = 0.05
+# Pause between rounds, seconds: the owners may be starting.
+ROUND_INTERVAL = 0.05
 
 
 class RemoteAccess:
-    """A group reached over its owners; `peers` holds the links to them.
+    """Access to a group through its owners; `peers` holds the links to them.
 
-    With `helpers` only those are asked, once, as long as they know of a primary.
+    With `helpers` only these daemons are tried, once, and only while they have a proven
+    primary.
     """
 
     def __init__(self, *, spec, context, peers, helpers=()):
@@ -38,56 +44,58 @@
         self.helpers = helpers
 
     async def read(self, job):
-        """Run a read; it is asked again at another owner when one fails."""
-        return await self.run(job, repeats=True)
+        """Run a read; it is retried at another owner if one fails."""
+        return await self.run(job, repeatable=True)
 
     async def write(self, job):
-        """Run a write; only one that never left is asked again."""
-        return await self.run(job, repeats=False)
+        """Run a write; it is retried only if it was never sent."""
+        return await self.run(job, repeatable=False)
 
     def begin(self, *, route, writes, arrived):
-        """A transaction that its first statement opens at an owner."""
+        """Return a transaction that its first statement opens at an owner."""
         return RemoteTransaction(
             access=self, route=route, writes=writes, arrived=arrived
         )
 
-    async def run(self, job, *, repeats):
-        """Ask the owners in turn until one has an answer, for most of the time left.
+    async def run(self, job, *, repeatable):
+        """Try the owners in rounds until one answers, for most of the time left.
 
-        None if no helper had one: nothing was written then.
+        Returns None if no helper had an answer: nothing was written then.
 
-        What goes wrong when all are asked just once: all daemons come back together,
-        the owners a moment after the others, whose callers are all turned away.
+        With a single round, callers would be refused after a restart of all daemons,
+        because the owners become ready slightly later than the others.
         """
         clock = self.context.clock
         until = clock() + job.time_left(clock) * self.context.tuning.leader_wait_share
         asked_all = False
         while True:
-            reply = await self.run_round(job, repeats=repeats, asked_all=asked_all)
+            reply = await self.run_round(
+                job, repeatable=repeatable, asked_all=asked_all
+            )
             if reply is not None:
                 return reply
             if self.helpers:
                 return None
             asked_all = True
-            if clock() + ROUND_PAUSE >= until:
+            if clock() + ROUND_INTERVAL >= until:
                 return no_owner(job, self.context.tuning)
-            await asyncio.sleep(ROUND_PAUSE)
+            await asyncio.sleep(ROUND_INTERVAL)
 
-    async def run_round(self, job, *, repeats, asked_all):
-        """Ask each owner once; the first reply, None if nobody could run it."""
+    async def run_round(self, job, *, repeatable, asked_all):
+        """Try each owner once; returns the first reply, None if there is none."""
         unable = 0
         for name in self.owners(job.workspace):
             if job.time_left(self.context.clock) <= 0:
                 break
             try:
                 link = await self.peers.link(name, job.time_left(self.context.clock))
-                if not repeats:
-                    await link.try_out()
-                answer = await self.ask(
+                if not repeatable:
+                    await link.check_alive()
+                answer = await self.request(
                     link, job, last_resort=self.last_resort(name, asked_all, unable)
                 )
             except PeerLost as exc:
-                self.note_lost(job, name, exc)
+                self.log_owner_lost(job, name, exc)
                 if exc.sent:
                     job.may_have_run = True
                     job.running_attempts.add(
@@ -95,41 +103,41 @@
                             asyncio.sleep(job.time_left(self.context.clock))
                         )
                     )
-                if exc.sent and not repeats:
+                if exc.sent and not repeatable:
                     return in_doubt(exc)
                 continue
-            self.note_unfinished(job, link, answer)
+            self.track_unfinished_read(job, link, answer)
             if not answer.unable:
-                return take(job, answer)
+                return record_response(job, answer)
             unable += 1
         return None
 
-    def note_unfinished(self, job, link, answer):
-        """Keep in mind that a read may still run at its owner."""
+    def track_unfinished_read(self, job, link, answer):
+        """Record that a read may still run at its owner."""
         if answer.unfinished:
-            ending = link.read_ends(answer.call, answer.unfinished)
+            ending = link.wait_read_ended(answer.call, answer.unfinished)
             job.running_attempts.add(asyncio.create_task(ending))
 
     def last_resort(self, name, asked_all, unable):
-        """Tell whether an owner has to try although it leaves or has just started."""
-        leaves = self.peers.leaves(name)
+        """Tell whether an owner must run the job even if draining or starting."""
+        leaves = self.peers.is_draining(name)
         return is_last_resort(asked_all=asked_all, leaving=leaves, unable=unable)
 
     def owners(self, workspace=""):
-        """Names of the owners to ask for a workspace's work, the best first."""
+        """Names of the owners to try for a workspace's work, the preferred first."""
         if self.helpers:
             return self.helpers
         daemons = self.context.daemons
         count = daemons.owner_count(self.spec)
-        names = daemons.order(self.spec.name, count * STAND_INS)
-        return self.peers.in_turn(names, count, self.spec.name, workspace)
+        names = daemons.order(self.spec.name, count * CANDIDATES_PER_OWNER)
+        return self.peers.ask_order(names, count, self.spec.name, workspace)
 
-    async def ask(self, link, job, **how):
-        """Ask one owner; raises PeerLost. `how` are fields of Ask."""
+    async def request(self, link, job, **fields):
+        """Send a job to one owner; `fields` of the request. Raises PeerLost."""
         job.owner = link.peer
         left = job.time_left(self.context.clock)
-        return await link.ask_timed(
-            lambda call: Ask(
+        return await link.timed_request(
+            lambda call: StatementRequest(
                 call=call,
                 request=job.request,
                 statement=job.statement,
@@ -141,13 +149,13 @@
                 if_led=bool(self.helpers),
                 hears_ends=True,
                 credential=job.credential,
-                **how,
+                **fields,
             ),
             self.peers.pace(link.peer, self.spec.name),
             timeout=left + ANSWER_MARGIN,
         )
 
-    def note_lost(self, job, name, exc):
+    def log_owner_lost(self, job, name, exc):
         """Log an owner that gave no answer."""
         job.tried.append(name)
         self.context.log(
@@ -162,7 +170,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class RemoteTransaction:
-    """A transaction at an owner, tied to the link that its first statement took."""
+    """A transaction at an owner, bound to the link of its first statement."""
 
     access: RemoteAccess
     route: Route
@@ -172,56 +180,56 @@
     values_set: bool = False
     link: object = None
     number: int = 0
-    over: bool = False
+    closed: bool = False
 
     async def run(self, job):
-        """Run a statement; anything but success has rolled it back."""
+        """Run a statement; any failure has rolled the transaction back."""
         self.wrote = self.wrote or job.statement.writes
         try:
-            answer = await self.ask(job)
+            answer = await self.request(job)
         except PeerLost as exc:
             await self.close()
-            self.access.note_lost(job, exc.peer, exc)
+            self.access.log_owner_lost(job, exc.peer, exc)
             return aborted_reply(str(exc))
-        reply = take(job, answer)
+        reply = record_response(job, answer)
         if not reply.ok:
-            self.over = True
+            self.closed = True
         return reply
 
     async def commit(self, job):
         """COMMIT; without an answer it is in doubt if anything was written."""
         try:
-            answer = await self.ask(job)
+            answer = await self.request(job)
         except PeerLost as exc:
-            self.access.note_lost(job, exc.peer, exc)
+            self.access.log_owner_lost(job, exc.peer, exc)
             return in_doubt(exc) if exc.sent and self.wrote else aborted_reply(str(exc))
         finally:
-            self.over = True
-        return take(job, answer)
+            self.closed = True
+        return record_response(job, answer)
 
-    async def ask(self, job):
-        """Ask the owner of this transaction; raises PeerLost."""
-        if self.over:
+    async def request(self, job):
+        """Send a statement to this transaction's owner; raises PeerLost."""
+        if self.closed:
             raise PeerLost("it is over", step="ask", peer="", sent=False)
         if self.link is None:
             return await self.open(job)
-        return await self.ask_owner(job)
+        return await self.request_owner(job)
 
-    async def ask_owner(self, job, **how):
-        """Ask the owner whose link this transaction has; raises PeerLost."""
-        return await self.access.ask(
+    async def request_owner(self, job, **fields):
+        """Send a statement over this transaction's link; raises PeerLost."""
+        return await self.access.request(
             self.link,
             job,
             transaction=self.number,
             opens_writing=self.writes,
             values_set=self.values_set,
-            **how,
+            **fields,
         )
 
     async def open(self, job):
-        """Open it with its first statement, at an owner that is able to.
+        """Open the transaction with its first statement, at an owner that is able to.
 
-        Raises PeerLost if there is none, or if the one that was asked is lost.
+        Raises PeerLost if there is none, or if the owner that was tried is lost.
         """
         clock = self.access.context.clock
         share = self.access.context.tuning.leader_wait_share
@@ -232,47 +240,47 @@
             if answer is not None:
                 return answer
             asked_all = True
-            await asyncio.sleep(ROUND_PAUSE)
+            await asyncio.sleep(ROUND_INTERVAL)
         raise PeerLost("no owner is able", step="open", peer="", sent=False)
 
     async def open_round(self, job, asked_all):
-        """Ask each owner once to open it; the first answer, None if nobody could."""
+        """Try each owner once; returns the first answer, None if none could open it."""
         unable = 0
         for name in self.access.owners(job.workspace):
-            if not self.access.peers.opens(name):
+            if not self.access.peers.accepts_transactions(name):
                 continue
-            if not await self.take_link(job, name):
+            if not await self.use_link(job, name):
                 continue
             last_resort = self.access.last_resort(name, asked_all, unable)
-            answer = await self.ask_owner(job, first=True, last_resort=last_resort)
+            answer = await self.request_owner(job, first=True, last_resort=last_resort)
             if not answer.unable:
                 return answer
             unable += 1
             self.link = None
         return None
 
-    async def take_link(self, job, name):
-        """Take the link to an owner if it works; tell whether it does."""
+    async def use_link(self, job, name):
+        """Bind the transaction to an owner's link; tell whether the link works."""
         try:
             link = await self.access.peers.link(
                 name, job.time_left(self.access.context.clock)
             )
-            await link.try_out()
+            await link.check_alive()
         except PeerLost as exc:
-            self.access.note_lost(job, name, exc)
+            self.access.log_owner_lost(job, name, exc)
             return False
         self.link, self.number = link, link.next_number()
         return True
 
     async def close(self):
-        """Tell the owner that it is over; a broken link has told it already."""
-        if self.link is not None and not self.over:
-            self.link.tell(EndTransaction(transaction=self.number))
-        self.over = True
+        """Tell the owner to roll back; it does so by itself if the link broke."""
+        if self.link is not None and not self.closed:
+            self.link.send_message(EndTransaction(transaction=self.number))
+        self.closed = True
 
 
-def take(job, answer: Answer):
-    """Note on a job what its answer tells; returns the reply."""
+def record_response(job, answer: StatementResponse):
+    """Record a response on its job; returns the reply."""
     job.tried.extend(answer.tried)
     job.served_by = answer.served_by
     job.role = answer.role
@@ -286,9 +294,10 @@
 
 
 def no_owner(job, tuning):
-    """The refusal of work that no owner answered; nothing of it is kept.
+    """The refusal of a job that no owner answered; it has no lasting effect.
 
-    A read may have run at an owner that went silent since, so that is not denied.
+    A read may have run at an owner that has become silent since, so the detail does not
+    claim that it has not.
     """
     not_run = "" if job.may_have_run else "not run, "
     return Reply(
--- a/packages/sessions/gypsum_sessions/metrics.py
+++ b/packages/sessions/gypsum_sessions/metrics.py
@@ -4,7 +4,7 @@
 from aioprometheus.renderer import render
 
 from gypsum_policy.revisions import era_of, number_of
-from gypsum_sessions.daemons.usage import Tally
+from gypsum_sessions.daemons.usage import OutcomeCounts
 
 # Number of workspaces with series of their own; all others share one. A scrape of
 # thousands of histograms would delay the statements.
@@ -130,11 +130,11 @@
     def collect_usage(self, usage):
         """Update the operations granted and refused to workspaces that have a cap."""
         totals = {}
-        for workspace, tally in usage.tallies.items():
+        for workspace, outcome in usage.outcomes.items():
             name = workspace if workspace in self.named_workspaces else OTHER_WORKSPACES
-            total = totals.setdefault(name, Tally())
-            total.granted += tally.granted
-            total.refused += tally.refused
+            total = totals.setdefault(name, OutcomeCounts())
+            total.granted += outcome.granted
+            total.refused += outcome.refused
         for name, total in totals.items():
             self.usage.set({"workspace": name, "what": "granted"}, total.granted)
             self.usage.set({"workspace": name, "what": "refused"}, total.refused)
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -7,12 +7,12 @@
 from gypsum_sessions.callers.requestlog import RequestLog
 from gypsum_sessions.callers.session import Session
 from gypsum_sessions.catalog import Catalog
-from gypsum_sessions.daemons.following import Following
-from gypsum_sessions.daemons.ownerdesk import OwnerDesk
+from gypsum_sessions.daemons.feedfollower import FeedFollower
 from gypsum_sessions.daemons.peers import Peers
-from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
+from gypsum_sessions.daemons.registry import DaemonEntry, DaemonRegistry
 from gypsum_sessions.daemons.relay import Relay
-from gypsum_sessions.daemons.usage import Usage
+from gypsum_sessions.daemons.requesthandler import PeerRequestHandler
+from gypsum_sessions.daemons.usage import UsageLimiter
 from gypsum_sessions.daemons.warmlinks import WarmLinks
 from gypsum_sessions.interfaces import LeaseError
 from gypsum_sessions.replies import Refusal, SessionState, UpstreamRefused
@@ -87,7 +87,7 @@
         # Seconds since the configuration was last confirmed to be the newest.
         self.catalog_age = lambda: 0.0
         own = DaemonEntry(id=name, domain=domain, link=link_address)
-        self.daemons = Daemons(own=own, all_watch_up_to=all_watch_up_to)
+        self.daemons = DaemonRegistry(own=own, all_watch_up_to=all_watch_up_to)
         self.roster = Roster(
             clock=clock, missing_checks=round(tuning.missing_grace / MAINTENANCE_INTERVAL),
         )
@@ -111,11 +111,11 @@
             in_touch_for=tuning.store_confirmation_time,
             watches=self.daemons.watches,
         )
-        self.feed_follower = Following(
+        self.feed_follower = FeedFollower(
             daemons=self.daemons, peers=self.peers, clock=clock, log=log
         )
         self.request_log = RequestLog(proxy=self)
-        self.usage = Usage(
+        self.usage = UsageLimiter(
             daemons=self.daemons,
             peers=self.peers,
             catalog=self.catalog,
@@ -207,13 +207,13 @@
     def update_daemons(self, entries):
         """Replace the whole list of daemons."""
         self.daemons.take_all(entries)
-        self.usage.list_changed()
+        self.usage.daemons_changed()
         self.hosting.reconcile()
 
     def update_daemon(self, entry):
         """Add or change one daemon; the next maintenance pass updates the groups."""
         self.daemons.add(entry)
-        self.usage.list_changed()
+        self.usage.daemons_changed()
 
     def expire_daemons(self):
         """Remove daemons that have been missing from the list for the grace period."""
@@ -225,8 +225,8 @@
     def remove_daemon(self, name):
         """Remove a daemon whose entry was deleted."""
         self.daemons.discard(name)
-        self.peers.forget(name)
-        self.usage.list_changed()
+        self.peers.remove(name)
+        self.usage.daemons_changed()
 
     # Members
 
@@ -337,7 +337,7 @@
 
     def open_peer_handler(self, peer):
         """Return the handler for requests on a link that another daemon opened."""
-        handler = OwnerDesk(proxy=self, peer=peer)
+        handler = PeerRequestHandler(proxy=self, peer=peer)
         self.peer_handlers.add(handler)
         return handler
 
@@ -353,7 +353,7 @@
             self.log(PART, "stood still", seconds=round(now - self.last_awake, 2))
             for handler in list(self.peer_handlers):
                 handler.frames.close()
-                handler.lost("stood still")
+                handler.link_lost("stood still")
         self.last_awake = now
         asyncio.get_running_loop().call_later(PAUSE_CHECK_INTERVAL, self.detect_pauses)
 
--- a/packages/sessions/gypsum_sessions/takeover/peer_reachability.py
+++ b/packages/sessions/gypsum_sessions/takeover/peer_reachability.py
@@ -7,7 +7,7 @@
     confirming_daemons,
     confirms_primary,
 )
-from gypsum_sessions.daemons.asks import LeaderQuestion
+from gypsum_sessions.daemons.peermessages import LeaderRequest
 from gypsum_sessions.daemons.peers import PeerLost
 
 PART = "reach"
@@ -67,8 +67,8 @@
         asked_at = self.context.clock()
         try:
             link = await self.peers.link(name, ANSWER_TIMEOUT)
-            answer = await link.ask(
-                lambda call: LeaderQuestion(call=call, group=self.group.name),
+            answer = await link.request(
+                lambda call: LeaderRequest(call=call, group=self.group.name),
                 timeout=ANSWER_TIMEOUT,
             )
         except PeerLost:
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -45,7 +45,7 @@
 
     def rank(self):
         """This daemon's position in the order of the group's owners, from 0."""
-        return self.context.daemons.place(self.group.spec)
+        return self.context.daemons.rank(self.group.spec)
 
     def primary_lost(self, delay):
         """Return whether the group has been without a leader for long enough.
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -6,7 +6,7 @@
 from gypsum_policy.ownership import share_after_start
 from gypsum_policy.routing import Candidate
 from gypsum_sessions.catalog import Catalog
-from gypsum_sessions.daemons.registry import Daemons
+from gypsum_sessions.daemons.registry import DaemonRegistry
 from gypsum_sessions.execution.admission import AdmissionQueue
 from gypsum_sessions.execution.jobs import ServedBy
 from gypsum_sessions.interfaces import Clock, Dialer, EventLog
@@ -34,7 +34,7 @@
     tuning: SessionTuning
     log: EventLog
     domain: str
-    daemons: Daemons
+    daemons: DaemonRegistry
     lease_view: LeaseView
     drain_seconds: float
     started_at: float
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -20,7 +20,7 @@
     read_json,
 )
 from gypsum_platform.takers import ConfigTaker, OwnTaker, UpstreamTaker
-from gypsum_sessions.daemons.asks import News
+from gypsum_sessions.daemons.peermessages import FeedUpdate
 from gypsum_sessions.daemons.relay import Relay
 from gypsum_sessions.interfaces import LeaseError, PromoteOutcome
 from gypsum_sessions.takeover.lease_view import LeaseView
@@ -541,15 +541,15 @@
         """This daemon is no watcher."""
         return False
 
-    def wanted(self):
+    def needs_watcher(self):
         """It needs one."""
         return True
 
-    def has_news(self, kind):
+    def has_updates(self, kind):
         """Tell whether there are news."""
         return bool(self.waiting)
 
-    def current(self, kind):
+    def is_up_to_date(self, kind):
         """Tell whether a watcher vouches."""
         return bool(self.waiting)
 
@@ -557,18 +557,18 @@
         """Tell whether the watcher knows more."""
         return False
 
-    async def next(self, kind, until):
+    async def next_update(self, kind, until):
         """The next news."""
         return self.waiting.pop(0) if self.waiting else None
 
-    def knows(self, kind, revision):
+    def set_known_revision(self, kind, revision):
         """What is known now."""
         self.known.append(revision)
 
     def store_lost(self, kind):
         """The store does not answer."""
 
-    def store_back(self, kind):
+    def store_recovered(self, kind):
         """The store answers."""
 
 
@@ -578,7 +578,7 @@
             name: {"name": name, "revision": revision, "spec": {}, "created": 1}
             for name in names
         }
-        return News(
+        return FeedUpdate(
             feed="k",
             revision=revision,
             changed=changed,
@@ -704,7 +704,7 @@
         )
         await feed.step()
         await feed.step()
-        assert not relay.knows("k")
+        assert not relay.has_feed("k")
         await feed.step()
         assert set(relay.feeds["k"].objects) == {"a"}
 
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -429,10 +429,10 @@
         """A daemon announces a drain, and ends waiting transactions after 1 s."""
         proxy = self.rng.choice(self.rig.proxies)
         for handler in list(proxy.peer_handlers):
-            handler.tell_leaving()
+            handler.send_leaving()
         loop = asyncio.get_running_loop()
         for handler in list(proxy.peer_handlers):
-            loop.call_later(1.0, handler.end_waiting)
+            loop.call_later(1.0, handler.end_idle_transactions)
 
     def withdraw_key(self):
         """A workspace's key is withdrawn, on each daemon at a different time."""
--- a/tests/sessions/test_fleet_store_return.py
+++ b/tests/sessions/test_fleet_store_return.py
@@ -1,4 +1,4 @@
-"""A fleet whose entries are lost as the store returns from an older copy."""
+"""A fleet whose entries are lost because the store is restored from an older copy."""
 
 import asyncio
 
@@ -11,20 +11,20 @@
     missing_grace_period,
     reregistration_delay,
 )
-from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
+from gypsum_sessions.daemons.registry import DaemonEntry, DaemonRegistry
 from tests.sessions.fleetrig import FleetRig
 from tests.sessions.vclock import run
 
 SETTLED = 10.0
-# Entries that are written in any second at most, twice the rate that they aim at.
-MOST_WRITES = 2 * REREGISTRATIONS_PER_S
+# Maximum number of entries written in any second: twice the target rate.
+MAX_WRITES = 2 * REREGISTRATIONS_PER_S
 
 
 async def lose_all_entries(rig):
-    """The store returns from a copy that is older than the fleet."""
+    """Restore the store from a copy that is older than the fleet."""
     empty = rig.store.copy()
     await asyncio.sleep(SETTLED)
-    assert rig.unaware() == []
+    assert rig.missing_peers() == []
     key = rig.store.kinds[OWN_KIND][LINK_KEY].spec
     rig.calls()
     rig.store.return_from(empty)
@@ -37,19 +37,19 @@
 
 
 @pytest.mark.parametrize("daemons", [9, 65, 195])
-def test_lost_entries_and_the_key_are_written_again_without_a_rush(daemons):
-    """Guards against a fleet of which new daemons know nothing, with another key."""
+def test_lost_entries_and_the_key_are_rewritten_at_a_limited_rate(daemons):
+    """Guards against a fleet unknown to new daemons, which use another key."""
 
     async def main():
         rig = FleetRig(daemons=daemons)
         key = await lose_all_entries(rig)
         for _ in range(20):
             before = rig.calls()["create", OWN_KIND]
-            assert before <= MOST_WRITES
+            assert before <= MAX_WRITES
             await asyncio.sleep(1.0)
         assert len(listed(rig)) == daemons
         assert rig.store.kinds[OWN_KIND][LINK_KEY].spec == key
-        assert rig.unaware() == []
+        assert rig.missing_peers() == []
 
     run(main())
 
@@ -62,7 +62,7 @@
         rig = FleetRig(daemons=daemons)
         await lose_all_entries(rig)
         for _ in range(200):
-            assert rig.unaware() == []
+            assert rig.missing_peers() == []
             await asyncio.sleep(0.1)
 
     run(main())
@@ -73,8 +73,8 @@
     return [DaemonEntry(id=name, domain="a", revision=1) for name in names]
 
 
-def test_who_stays_off_the_list_is_dropped_after_its_looks():
-    daemons = Daemons(own=DaemonEntry(id="d1", domain="a"))
+def test_a_daemon_off_the_list_is_dropped_after_its_checks():
+    daemons = DaemonRegistry(own=DaemonEntry(id="d1", domain="a"))
     daemons.take_all(entries("d1", "d2", "d3"))
     daemons.take_all(entries("d1"))
     assert set(daemons.known) == {"d1", "d2", "d3"}
@@ -86,6 +86,6 @@
     assert set(daemons.known) == {"d1", "d3"}
 
 
-def test_a_large_fleet_writes_for_as_long_as_its_daemons_keep_their_places():
+def test_a_large_fleet_rewrites_entries_within_the_grace_period():
     assert reregistration_delay(4000, 1.0) == 4000 / REREGISTRATIONS_PER_S
     assert missing_grace_period(4000) > reregistration_delay(4000, 1.0)
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -59,7 +59,7 @@
     link = await other.peers.link(owner.name, 0.4)
     draining = start_drain(owner)
     await asyncio.sleep(NOTICED)
-    link.leaving = False
+    link.draining = False
     return other, owner, draining
 
 
@@ -158,7 +158,7 @@
         await asyncio.sleep(NOTICED)
         asked = []
         for handler in [item for proxy in rig.proxies for item in proxy.peer_handlers]:
-            handler.take = asked.append
+            handler.accept = asked.append
         caller = rig.caller("own", other)
         await caller.send("BEGIN")
         sending = asyncio.create_task(caller.send("WRITE a 1"))
@@ -413,7 +413,7 @@
         start_drain(owner)
         await asyncio.sleep(NOTICED)
         for handler in owner.peer_handlers:
-            handler.held.clear()
+            handler.transactions.clear()
         assert (await caller.send("COMMIT")).refusal is Refusal.ABORTED
         assert rig.group.acknowledged == []
 
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -1,10 +1,15 @@
-"""Statements that go to an owner of their group, and owners that fail meanwhile."""
+"""Statements sent to an owner of their group, and owners that fail meanwhile."""
 
 import asyncio
 
 import pytest
 
-from gypsum_sessions.daemons.asks import Ask, MessageError, decode, encode
+from gypsum_sessions.daemons.peermessages import (
+    MessageError,
+    StatementRequest,
+    decode,
+    encode,
+)
 from gypsum_sessions.replies import Refusal, SessionState
 from gypsum_sessions.statements import Statement, StatementKind
 from tests.sessions.owners import (
@@ -18,7 +23,7 @@
 
 
 async def make_rig():
-    """Three owners and two others, which know who leads."""
+    """Three owners and two other daemons; the owners have proven the leader."""
     rig = await owners_rig()
     assert (len(rig.owners()), len(rig.others())) == (3, 2)
     return rig
@@ -75,11 +80,11 @@
     run(main())
 
 
-def test_a_read_is_asked_elsewhere_when_its_owner_goes_silent():
-    """Symptom: reads of a healthy group take as long as their callers wait.
+def test_a_read_is_retried_elsewhere_when_its_owner_becomes_silent():
+    """Guards against reads of a healthy group that take until their deadline.
 
-    Sequence: an owner freezes with a read on its way. Cause: the daemon that sent it
-    waits for an answer that does not come.
+    An owner freezes while a read is on its way, and the daemon that sent it waited for
+    an answer that does not come.
     """
 
     async def main():
@@ -94,11 +99,11 @@
     run(main())
 
 
-def test_a_write_at_an_owner_that_went_silent_is_in_doubt_and_not_repeated():
-    """Symptom: a write takes effect twice.
+def test_a_write_at_a_silent_owner_is_in_doubt_and_not_repeated():
+    """Guards against a write that takes effect twice.
 
-    Sequence: an owner freezes with a write on its way, and thaws. Cause: the write was
-    sent to the next owner as well, or the first one runs what was queued.
+    An owner freezes while a write is on its way, and resumes. The write was also sent
+    to the next owner, or the first one runs it from its queue.
     """
 
     async def main():
@@ -116,7 +121,7 @@
     run(main())
 
 
-def test_a_write_that_never_left_goes_to_the_next_owner():
+def test_a_write_that_was_never_sent_goes_to_the_next_owner():
     async def main():
         rig = await make_rig()
         caller = rig.caller("own", rig.others()[0])
@@ -129,11 +134,11 @@
 
 
 def test_a_transaction_whose_owner_is_lost_is_rolled_back_for_good():
-    """Symptom: a transaction that was told as rolled back is committed.
+    """Guards against committing a transaction that was reported as rolled back.
 
-    Sequence: a transaction writes at an owner, the owner freezes, its caller is told,
-    the owner thaws and reads a COMMIT that was queued. Cause: the COMMIT reached it
-    over a link that the other end has given up.
+    A transaction writes at an owner, the owner freezes, the caller gets the refusal,
+    and the owner resumes and reads a queued COMMIT. The COMMIT reached it over a link
+    that the other end had closed.
     """
 
     async def main():
@@ -145,7 +150,7 @@
         await asyncio.sleep(0.5)
         assert rig.group.acknowledged == []
         desks = [desk for proxy in rig.owners() for desk in proxy.peer_handlers]
-        assert all(not desk.held for desk in desks)
+        assert all(not desk.transactions for desk in desks)
         assert (await caller.send("ROLLBACK")).ok
         assert (await caller.send("WRITE a 2")).ok
 
@@ -179,7 +184,7 @@
     run(main())
 
 
-def test_an_owner_that_leaves_gets_no_new_work_and_ends_what_it_has():
+def test_a_draining_owner_gets_no_new_work_and_finishes_its_transactions():
     async def main():
         rig = await make_rig()
         other = rig.others()[0]
@@ -189,7 +194,7 @@
         name = owner_of(caller)
         owner = rig.links.proxies[name]
         for desk in owner.peer_handlers:
-            desk.tell_leaving()
+            desk.send_leaving()
         await asyncio.sleep(0.01)
         assert other.access("db").owners()[-1] == name
         await second.send("BEGIN")
@@ -200,12 +205,12 @@
     run(main())
 
 
-def test_an_owner_that_has_to_end_says_so_to_the_next_statement():
+def test_the_next_statement_of_an_ended_transaction_is_refused():
     async def main():
         rig = await make_rig()
         caller, owner = await open_transaction(rig)
         for desk in rig.links.proxies[owner].peer_handlers:
-            desk.end_waiting()
+            desk.end_idle_transactions()
         await asyncio.sleep(0.05)
         assert (await caller.send("COMMIT")).refusal is Refusal.ABORTED
         assert rig.group.acknowledged == []
@@ -213,20 +218,20 @@
     run(main())
 
 
-def test_a_caller_that_leaves_ends_its_transaction_at_the_owner():
+def test_a_closed_session_ends_its_transaction_at_the_owner():
     async def main():
         rig = await make_rig()
         caller, _ = await open_transaction(rig)
         await rig.others()[0].close_session(caller.session)
         await asyncio.sleep(0.1)
         assert all(
-            not desk.held for proxy in rig.owners() for desk in proxy.peer_handlers
+            not desk.transactions for proxy in rig.owners() for desk in proxy.peer_handlers
         )
 
     run(main())
 
 
-def test_work_is_refused_with_a_time_to_come_back_when_no_owner_answers():
+def test_work_is_refused_with_a_retry_time_when_no_owner_answers():
     async def main():
         rig = await make_rig()
         caller = rig.caller("own", rig.others()[0])
@@ -238,7 +243,7 @@
     run(main())
 
 
-def test_a_read_that_may_have_run_is_not_said_not_to_have():
+def test_a_read_that_may_have_run_is_not_reported_as_not_run():
     async def main():
         rig = await make_rig()
         caller = rig.caller("own", rig.others()[0])
@@ -252,11 +257,11 @@
     run(main())
 
 
-def test_a_daemon_that_does_not_own_serves_those_who_reach_no_owner():
-    """Symptom: a group is out of service although half of the daemons live.
+def test_a_standby_serves_when_no_owner_is_reachable():
+    """Guards against a group without service while half of the daemons live.
 
-    Sequence: all owners of a group are killed together. Cause: nobody else takes
-    statements for it.
+    All owners of a group are killed together, and no other daemon accepted its
+    statements.
     """
 
     async def main():
@@ -270,7 +275,7 @@
     run(main())
 
 
-def test_messages_come_through_whole():
+def test_messages_survive_encoding_and_decoding():
     statement = Statement(kind=StatementKind.READ, text="READ a")
     rig_route = None
 
@@ -280,7 +285,7 @@
         rig_route = rig.proxy.catalog.route("own")
 
     run(main())
-    ask = Ask(
+    ask = StatementRequest(
         call=7,
         request="r",
         statement=statement,
@@ -299,10 +304,10 @@
 
 
 def test_a_transaction_goes_to_an_owner_that_has_a_connection_free():
-    """Symptom: transactions wait until their deadline while connections are idle.
+    """Guards against transactions that wait although connections are idle.
 
-    Sequence: transactions that pause hold all connections of one owner; the next one
-    comes to it. Cause: an owner waited for its own connections, whatever others have.
+    Idle transactions hold all connections of one owner, and the next one is sent there.
+    The owner waited for its own connections until the deadline, whatever others had.
     """
 
     async def main():
--- a/tests/sessions/test_usage.py
+++ b/tests/sessions/test_usage.py
@@ -1,4 +1,4 @@
-"""Caps of workspaces over a fleet: never exceeded, and no refusal below them."""
+"""Caps of workspaces over a fleet: never exceeded, and no refusals below them."""
 
 import asyncio
 from random import Random
@@ -6,8 +6,8 @@
 import pytest
 
 from gypsum_policy.ratelimit import WINDOW, Cap
-from gypsum_sessions.daemons.asks import LeaveAnswer
-from gypsum_sessions.daemons.usage import Usage
+from gypsum_sessions.daemons.peermessages import GrantResponse
+from gypsum_sessions.daemons.usage import UsageLimiter
 from gypsum_sessions.replies import Refusal
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
@@ -16,28 +16,28 @@
 CAP = Cap(rate=40.0, burst=40.0, version=1)
 LOW = Cap(rate=8.0, burst=8.0, version=2)
 DAEMONS = 6
-# What a window may exceed its cap by: a share of it, and some operations more.
-OVER_SHARE = 0.1
-OVER = 20
+# Excess over the cap that a window may show: a share of it, and some operations.
+TOLERANCE_SHARE = 0.1
+TOLERANCE = 20
 
 
-class Ran:
-    """Keeps when each operation of a caller ran; each has one statement."""
+class OperationRecorder:
+    """Records when each operation of a workspace ran; each has one statement."""
 
     def __init__(self, *, loop):
         self.loop = loop
         self.times = []
 
     def statement_ran(self, conn, request):
-        """An upstream ran a caller's statement."""
+        """Record a caller's statement that an upstream ran."""
         if conn.workspace == "north":
             self.times.append(self.loop.time())
 
     def read_ran(self, member, request):
-        """An upstream ran a read: that is counted already."""
+        """Ignore reads, which statement_ran has recorded already."""
 
-    def most(self, since=0.0):
-        """The most operations in any window that begins after a moment."""
+    def max_in_window(self, since=0.0):
+        """The maximum number of operations in any window that begins after `since`."""
         times = sorted(at for at in self.times if at >= since)
         ends = (
             sum(at <= one + WINDOW for at in times[i:]) for i, one in enumerate(times)
@@ -45,24 +45,24 @@
         return max(ends, default=0)
 
 
-def allowed(cap):
-    """The operations that any window may show."""
-    return (cap.rate * WINDOW + cap.burst) * (1 + OVER_SHARE) + OVER
+def max_allowed(cap):
+    """The maximum number of operations in any window."""
+    return (cap.rate * WINDOW + cap.burst) * (1 + TOLERANCE_SHARE) + TOLERANCE
 
 
 async def capped_rig(daemons=DAEMONS):
-    """A fleet whose workspaces have caps, known for long."""
+    """A fleet whose workspaces have had caps for a while."""
     rig = Rig(daemons=daemons, keys=KEYS, caps={"north": CAP}, max_connections=90)
     for member in rig.group.members:
         member.work, member.slots = 0.002, 20
-    rig.group.observer = Ran(loop=rig.loop)
+    rig.group.observer = OperationRecorder(loop=rig.loop)
     await rig.settle()
     await asyncio.sleep(1.0)
     return rig
 
 
 class Load:
-    """Reads of one workspace at random daemons, so many a second."""
+    """Reads of one workspace at random daemons, at a given rate."""
 
     def __init__(self, *, rig, seed=1):
         self.rig = rig
@@ -71,35 +71,35 @@
         self.tasks = set()
 
     async def run(self, rate, seconds, proxies=None):
-        """Ask for some seconds; all are answered at the end."""
+        """Send reads for some seconds, and wait for all replies."""
         until = self.rig.loop.time() + seconds
         while self.rig.loop.time() < until:
             proxy = self.rng.choice(proxies or self.rig.proxies)
-            self.tasks.add(asyncio.create_task(self.one(proxy)))
+            self.tasks.add(asyncio.create_task(self.send_read(proxy)))
             await asyncio.sleep(self.rng.expovariate(rate))
         await asyncio.gather(*self.tasks)
 
-    async def one(self, proxy):
-        """One operation."""
+    async def send_read(self, proxy):
+        """Run one operation."""
         caller = self.rig.caller("bounded", proxy, key="n1")
         reply = await caller.send("READ a")
         self.replies.append((self.rig.loop.time(), reply))
 
     def refused(self, since=0.0):
-        """Refusals after a moment."""
+        """Refusals after a point in time."""
         return [reply for at, reply in self.replies if not reply.ok and at >= since]
 
 
 def home_of(rig):
-    """The daemon that counts for the workspace."""
-    return rig.proxy.usage.homes.of("north")[0]
+    """The home of the workspace."""
+    return rig.proxy.usage.homes.for_workspace("north")[0]
 
 
 def test_below_its_cap_nothing_is_refused():
-    """Symptom: a workspace well below its cap is refused at some daemons.
+    """Guards against refusing a workspace that is well below its cap.
 
-    Sequence: its callers are uneven: all come to one daemon. Cause: each daemon kept a
-    share of the cap.
+    All of its callers come to one daemon, and each daemon enforced a fixed share of the
+    cap.
     """
 
     async def main():
@@ -111,15 +111,15 @@
     run(main())
 
 
-def test_a_hot_workspace_gets_its_cap_and_no_more():
+def test_an_overloaded_workspace_gets_its_cap_and_no_more():
     async def main():
         rig = await capped_rig()
         await Load(rig=rig).run(5.0, 3.0)
         rig.group.observer.times.clear()
         load = Load(rig=rig)
         await load.run(300.0, 8.0)
-        ran = rig.group.observer.most()
-        assert ran <= allowed(CAP)
+        ran = rig.group.observer.max_in_window()
+        assert ran <= max_allowed(CAP)
         assert len(rig.group.observer.times) >= 0.95 * (CAP.rate * 8.0 + CAP.burst)
         assert all(reply.refusal is Refusal.BUSY for reply in load.refused())
         assert all(reply.retry_after_ms > 0 for reply in load.refused())
@@ -127,7 +127,7 @@
     run(main())
 
 
-def test_a_refusal_comes_at_once_and_reaches_no_upstream():
+def test_a_refusal_is_immediate_and_reaches_no_upstream():
     async def main():
         rig = await capped_rig()
         load = Load(rig=rig)
@@ -149,12 +149,12 @@
         caller = rig.caller(key="n1")
         for text in ("BEGIN", "WRITE a 1", "READ a", "WRITE a 2", "COMMIT"):
             assert (await caller.send(text)).ok
-        assert usage.tallies["north"].granted == 1
+        assert usage.outcomes["north"].granted == 1
 
     run(main())
 
 
-def test_a_workspace_without_a_cap_asks_nobody():
+def test_a_workspace_without_a_cap_sends_no_requests():
     async def main():
         rig = await capped_rig()
         assert (await rig.caller("bounded", key="s1").send("READ a")).ok
@@ -165,11 +165,11 @@
 
 @pytest.mark.parametrize("rate", [20.0, 300.0])
 @pytest.mark.parametrize("fault", ["kill", "freeze", "cut"])
-def test_the_cap_holds_while_its_home_is_away(fault, rate):
-    """Symptom: a workspace gets twice its cap, or nothing, while a daemon is away.
+def test_the_cap_holds_while_its_home_is_unavailable(fault, rate):
+    """Guards against a workspace that gets twice its cap, or nothing.
 
-    Sequence: the daemon that counts for it is killed, stands still, or loses the
-    others; it comes back. Cause: nobody counted, or two did with full buckets.
+    Its home is killed, frozen or cut off from the other daemons, and comes back. No
+    daemon granted operations, or two did with full buckets.
     """
 
     async def main():
@@ -191,7 +191,7 @@
         if fault == "freeze":
             rig.links.thaw(name)
         await running
-        assert rig.group.observer.most() <= allowed(CAP)
+        assert rig.group.observer.max_in_window() <= max_allowed(CAP)
         refused = load.refused()
         if rate < CAP.rate:
             assert len(refused) <= 0.03 * len(load.replies)
@@ -201,7 +201,7 @@
     run(main())
 
 
-def test_a_lower_cap_counts_within_a_window_of_its_coming():
+def test_a_lower_cap_takes_effect_within_a_window():
     async def main():
         rig = await capped_rig()
         load = Load(rig=rig)
@@ -212,17 +212,17 @@
             proxy.offer_catalog(lower, "test")
         at = rig.loop.time()
         await running
-        assert rig.group.observer.most(since=at + 0.1) <= allowed(LOW)
+        assert rig.group.observer.max_in_window(since=at + 0.1) <= max_allowed(LOW)
 
     run(main())
 
 
 @pytest.mark.parametrize("behind", [True, False])
-def test_the_newer_cap_counts_where_home_and_daemon_differ(behind):
-    """Symptom: a cap that was lowered long ago is exceeded, or a raised one refused.
+def test_the_newer_cap_applies_if_home_and_daemon_differ(behind):
+    """Guards against exceeding a lowered cap, or refusing below a raised one.
 
-    Sequence: the home, or the daemons that ask it, are out of the store's reach. Cause:
-    one of them went by its own configuration alone.
+    The home, or the daemons that ask it, do not reach the store, and one of them used
+    its own configuration alone.
     """
 
     async def main():
@@ -235,15 +235,17 @@
         others = [proxy for proxy in rig.proxies if proxy.name != home]
         load, at = Load(rig=rig), rig.loop.time()
         await load.run(100.0, 7.0, others)
-        assert rig.group.observer.most(since=at) <= allowed(LOW)
+        assert rig.group.observer.max_in_window(since=at) <= max_allowed(LOW)
 
     run(main())
 
 
-def test_a_daemon_that_reaches_no_other_lets_little_through():
+def test_an_isolated_daemon_grants_little():
     async def main():
         rig = await capped_rig(daemons=12)
-        alone = [p for p in rig.proxies if p.name not in p.usage.homes.of("north")][:3]
+        alone = [
+            p for p in rig.proxies if p.name not in p.usage.homes.for_workspace("north")
+        ][:3]
         names = {proxy.name for proxy in alone}
         rig.links.cut |= {
             frozenset({one.name, other.name})
@@ -255,34 +257,36 @@
         rest = [proxy for proxy in rig.proxies if proxy.name not in names]
         await Load(rig=rig, seed=2).run(300.0, 10.0, rest)
         await running
-        assert rig.group.observer.most() <= allowed(CAP)
+        assert rig.group.observer.max_in_window() <= max_allowed(CAP)
 
     run(main())
 
 
-def test_operations_at_a_daemon_that_is_cut_off_are_decided_at_once():
-    """Symptom: at a daemon that is cut off an operation is late every second.
+def test_operations_at_an_isolated_daemon_are_decided_immediately():
+    """Guards against a late operation every second at an isolated daemon.
 
-    Sequence: it asks the homes, none answers, it grants its own part; a second later it
-    asks them again, and some caller waits for all of them. Cause: callers' operations
-    were used to find out whether a home is back.
+    It asks the homes, none answers, and it grants its own share. If callers' operations
+    are used to find out whether a home is back, one of them waits for all homes each
+    second.
     """
 
     async def main():
         rig = await capped_rig()
-        alone = next(p for p in rig.proxies if p.name not in p.usage.homes.of("north"))
+        alone = next(
+            p for p in rig.proxies if p.name not in p.usage.homes.for_workspace("north")
+        )
         pairs = {frozenset({alone.name, other.name}) for other in rig.proxies}
         rig.links.cut |= pairs
-        await alone.usage.leave("north")
+        await alone.usage.acquire("north")
         for _ in range(40):
             began = rig.loop.time()
-            await alone.usage.leave("north")
+            await alone.usage.acquire("north")
             assert rig.loop.time() - began < 0.01
             await asyncio.sleep(0.15)
         rig.links.cut.clear()
         await asyncio.sleep(3.0)
-        assert await alone.usage.leave("north") == 0.0
-        assert not alone.usage.homes.left_out
+        assert await alone.usage.acquire("north") == 0.0
+        assert not alone.usage.homes.unreachable
 
     run(main())
 
@@ -298,49 +302,49 @@
         await load.run(20.0, 5.0)
         assert load.refused() == []
         await Load(rig=rig).run(300.0, 8.0)
-        assert rig.group.observer.most() <= 2 * allowed(CAP)
+        assert rig.group.observer.max_in_window() <= 2 * max_allowed(CAP)
 
     run(main())
 
 
-class Away:
-    """One daemon after the other is away for a while, and comes back."""
+class DaemonFaults:
+    """Makes one daemon after the other unavailable for a while."""
 
     def __init__(self, *, rig, rng):
         self.rig = rig
         self.rng = rng
-        # Daemons that take callers: also one that is merely cut off.
+        # Daemons that serve callers, including isolated ones.
         self.serving = list(rig.proxies)
 
     async def run(self, times):
-        """So many daemons in turn."""
+        """Make the given number of random daemons unavailable, one at a time."""
         for _ in range(times):
             proxy = self.rng.choice(self.rig.proxies)
             await getattr(self, self.rng.choice(["killed", "frozen", "cut_off"]))(proxy)
             await asyncio.sleep(self.rng.random() * 2.5)
 
-    async def gone(self, proxy):
-        """It serves nobody for a while."""
+    async def stop_serving(self, proxy):
+        """Send a daemon no callers for a while."""
         self.serving.remove(proxy)
         await asyncio.sleep(self.rng.random() * 2.5)
         self.serving.append(proxy)
 
     async def killed(self, proxy):
-        """Its process ends, and starts with nothing of before."""
+        """End a daemon's process and restart it without state."""
         self.rig.links.kill(proxy.name)
-        await self.gone(proxy)
+        await self.stop_serving(proxy)
         self.rig.links.dead.discard(proxy.name)
         proxy.usage.buckets.clear()
-        proxy.usage.list_changed()
+        proxy.usage.daemons_changed()
 
     async def frozen(self, proxy):
-        """It stands still."""
+        """Freeze and resume a daemon."""
         self.rig.links.freeze(proxy.name)
-        await self.gone(proxy)
+        await self.stop_serving(proxy)
         self.rig.links.thaw(proxy.name)
 
     async def cut_off(self, proxy):
-        """It reaches no other daemon, and serves on."""
+        """Isolate a daemon from all others; it continues to serve callers."""
         pairs = {frozenset({proxy.name, other.name}) for other in self.rig.proxies}
         self.rig.links.cut |= pairs
         await asyncio.sleep(self.rng.random() * 4)
@@ -351,27 +355,27 @@
 def test_random_faults_never_exceed_the_cap(seed):
     async def main():
         rig, rng = await capped_rig(), Random(seed)
-        away = Away(rig=rig, rng=rng)
+        away = DaemonFaults(rig=rig, rng=rng)
         load = Load(rig=rig, seed=seed)
         running = asyncio.create_task(load.run(200.0, 16.0, away.serving))
         await away.run(6)
         await running
-        assert rig.group.observer.most() <= allowed(CAP)
+        assert rig.group.observer.max_in_window() <= max_allowed(CAP)
 
     run(main())
 
 
 def test_a_planted_break_is_noticed(monkeypatch):
-    """The check of windows finds a home that grants whatever is asked."""
+    """The window check detects a home that grants every request."""
 
-    def grant_all(self, workspace, wanted, cap, place):
-        return LeaveAnswer(call=0, granted=wanted)
+    def grant_all(self, workspace, wanted, cap, rank):
+        return GrantResponse(call=0, granted=wanted)
 
-    monkeypatch.setattr(Usage, "count", grant_all)
+    monkeypatch.setattr(UsageLimiter, "grant_as_home", grant_all)
 
     async def main():
         rig = await capped_rig()
         await Load(rig=rig).run(300.0, 6.0)
-        assert rig.group.observer.most() > allowed(CAP)
+        assert rig.group.observer.max_in_window() > max_allowed(CAP)
 
     run(main())
--- a/tests/sessions/test_warm_links.py
+++ b/tests/sessions/test_warm_links.py
@@ -1,21 +1,21 @@
-"""Links to owners are open before they are needed, where the owners are few."""
+"""Links to owners are opened before they are needed, if there are few owners."""
 
 import asyncio
 
 from gypsum_sessions.daemons import warmlinks
-from gypsum_sessions.daemons.warmlinks import BEGIN_AFTER
+from gypsum_sessions.daemons.warmlinks import START_DELAY
 from tests.sessions.owners import owners_rig
 from tests.sessions.vclock import run
 
-# Seconds in which all links are open: one each quarter of a second.
-SOON = BEGIN_AFTER + 2.0
+# Seconds in which all links are open: one is opened each quarter of a second.
+SOON = START_DELAY + 2.0
 
 
 def test_links_to_owners_are_open_before_the_first_statement():
-    """Symptom: the first statements of a day take twice as long as later ones.
+    """Guards against first statements that take twice as long as later ones.
 
-    Sequence: many daemons share a little work; each asks an owner for the first time
-    now and then, and waits for the link. Cause: links were opened by statements.
+    Many daemons share little work, so each one often sends its first statement to an
+    owner and waits for the link, if links are opened by statements only.
     """
 
     async def main():
@@ -30,7 +30,7 @@
     run(main())
 
 
-def test_where_owners_are_many_links_are_opened_by_use(monkeypatch):
+def test_with_many_owners_links_are_opened_on_demand(monkeypatch):
     async def main():
         monkeypatch.setattr(warmlinks, "MAX_WARM_LINKS", 2)
         rig = await owners_rig()
@@ -39,7 +39,7 @@
     run(main())
 
 
-def test_an_owner_that_is_away_is_not_dialled_again_and_again():
+def test_an_unreachable_owner_is_not_dialled_repeatedly():
     async def main():
         rig = await owners_rig()
         gone = rig.owners()[0].name
