--- a/packages/sessions/gypsum_sessions/daemons/requesthandler.py
+++ b/packages/sessions/gypsum_sessions/daemons/requesthandler.py
@@ -338,7 +338,9 @@
     slow machine, while other owners could serve them.
     """
     inside = bool(request.transaction) and not request.first
-    return not reply.ok and bool(job.queue_wait) and not request.last_resort and not inside
+    return (
+        not reply.ok and bool(job.queue_wait) and not request.last_resort and not inside
+    )
 
 
 def make_job(request, proxy):
--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -113,7 +113,9 @@
             del self.request_tasks[workspace]
             left = waiters + self.waiters.pop(workspace, [])
             self.resolve(
-                workspace, left, GrantResponse(call=0, granted=0, wait=REFUSAL_VALID_FOR)
+                workspace,
+                left,
+                GrantResponse(call=0, granted=0, wait=REFUSAL_VALID_FOR),
             )
 
     def resolve(self, workspace, waiters, answer):
--- a/packages/sessions/gypsum_sessions/execution/admission.py
+++ b/packages/sessions/gypsum_sessions/execution/admission.py
@@ -83,7 +83,7 @@
         self.admit_waiting()
 
     async def wait(self, ticket, deadline):
-        """Wait until a ticket is admitted; raises QueueTimeout when its time is over."""
+        """Wait until a ticket is admitted; raises QueueTimeout at the deadline."""
         fut = asyncio.get_running_loop().create_future()
         self.futures[ticket] = fut
         self.admit_waiting()
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -89,10 +89,13 @@
         own = DaemonEntry(id=name, domain=domain, link=link_address)
         self.daemons = DaemonRegistry(own=own, all_watch_up_to=all_watch_up_to)
         self.roster = Roster(
-            clock=clock, missing_checks=round(tuning.missing_grace / MAINTENANCE_INTERVAL),
+            clock=clock,
+            missing_checks=round(tuning.missing_grace / MAINTENANCE_INTERVAL),
         )
         self.recorder = MemberRecorder(records=records, log=log)
-        self.lease_view = LeaseView(clock=clock, takeover_window=tuning.takeover_max_duration)
+        self.lease_view = LeaseView(
+            clock=clock, takeover_window=tuning.takeover_max_duration
+        )
         self.context = GroupContext(
             clock=clock,
             dialer=CheckingDialer(dialer=dialer, replaced=self.on_member_replaced),
@@ -217,7 +220,9 @@
 
     def expire_daemons(self):
         """Remove daemons that have been missing from the list for the grace period."""
-        looks = round(missing_grace_period(len(self.daemons.known)) / MAINTENANCE_INTERVAL)
+        looks = round(
+            missing_grace_period(len(self.daemons.known)) / MAINTENANCE_INTERVAL
+        )
         for name in self.daemons.expire(looks):
             self.log(PART, "daemon not listed any more", peer=name)
             self.remove_daemon(name)
--- a/packages/sessions/gypsum_sessions/takeover/attempt.py
+++ b/packages/sessions/gypsum_sessions/takeover/attempt.py
@@ -99,7 +99,9 @@
                 await self.attempt(reason)
             except (LeaseError, UpstreamError) as exc:
                 self.log("attempt aborted", error=str(exc))
-                self.backoff_until = self.context.clock() + self.context.tuning.lease_min_age
+                self.backoff_until = (
+                    self.context.clock() + self.context.tuning.lease_min_age
+                )
             finally:
                 self.attempting = False
 
@@ -307,7 +309,9 @@
         ):
             self.promotions += 1
             self.replication.paused.clear()
-            self.backoff_until = self.context.clock() + self.context.tuning.lease_retry_delay
+            self.backoff_until = (
+                self.context.clock() + self.context.tuning.lease_retry_delay
+            )
             await self.settle()
             return True
         # The token cannot be used again: the order was refused or may still be carried
@@ -461,7 +465,9 @@
         self.log("primary confirmed", upstream=leader, outcome=str(outcome))
         self.record_outcome(leader, outcome)
         if outcome is not PromoteOutcome.ACCEPTED:
-            self.backoff_until = self.context.clock() + self.context.tuning.lease_retry_delay
+            self.backoff_until = (
+                self.context.clock() + self.context.tuning.lease_retry_delay
+            )
             return
         await self.replication.resume_all()
         await self.settle()
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -26,8 +26,8 @@
 async def prove_leads(conn, *, timeout):
     """Ask an upstream for a proof that it leads: its position, or None if it does not.
 
-    Raises UpstreamLost or UpstreamTimeout if there is no answer, and UpstreamBusy if the
-    upstream is too busy to run the statement.
+    Raises UpstreamLost or UpstreamTimeout if there is no answer, and UpstreamBusy if
+    the upstream is too busy to run the statement.
     """
     begun, ended = await asyncio.gather(
         conn.ask(BEGIN_READ_WRITE, timeout=timeout),
--- a/packages/sessions/gypsum_sessions/takeover/reasons.py
+++ b/packages/sessions/gypsum_sessions/takeover/reasons.py
@@ -77,7 +77,10 @@
         name = self.group.name
         if not self.lease_view.unsettled(name):
             return False
-        return self.lease_view.age(name) >= self.context.tuning.takeover_max_duration + delay
+        return (
+            self.lease_view.age(name)
+            >= self.context.tuning.takeover_max_duration + delay
+        )
 
     def primary_leaving(self, delay):
         """Return whether the primary is leaving and another member could lead."""
--- a/packages/sessions/gypsum_sessions/upstreams/upstream.py
+++ b/packages/sessions/gypsum_sessions/upstreams/upstream.py
@@ -65,7 +65,8 @@
         """
         if (
             self.behind_since is None
-            or now - self.last_behind_at > tuning.behind_expiry:
+            or now - self.last_behind_at > tuning.behind_expiry
+        ):
             return 0.0
         return self.last_behind_at - self.behind_since
 
@@ -107,7 +108,8 @@
         if is_connection_shortage(exc) or now < self.avoid_until:
             return
         self.avoid_backoff = min(
-            max(tuning.avoid_backoff_min, 2 * self.avoid_backoff), tuning.avoid_backoff_max
+            max(tuning.avoid_backoff_min, 2 * self.avoid_backoff),
+            tuning.avoid_backoff_max,
         )
         self.avoid_until = now + self.avoid_backoff
 
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -167,7 +167,9 @@
                 log=self.log,
                 waker=waker,
                 gather=gather,
-                caught_up=proxy.lease_view.record_revision if kind == OWN_KIND else None,
+                caught_up=proxy.lease_view.record_revision
+                if kind == OWN_KIND
+                else None,
                 relay=proxy.relay,
                 following=proxy.feed_follower,
                 watch_ms=CONFIG_WATCH_MS if kind == CONFIG_KIND else WATCH_MS,
--- a/tests/sessions/test_lagging.py
+++ b/tests/sessions/test_lagging.py
@@ -57,7 +57,10 @@
             for item in rig.proxy.groups["db"].upstreams.values()
             if item.id != "u1"
         ]
-        assert min(item.apply_lag for item in replicas) < rig.proxy.tuning.confirm_apply_wait
+        assert (
+            min(item.apply_lag for item in replicas)
+            < rig.proxy.tuning.confirm_apply_wait
+        )
 
     run(main())
 
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -225,7 +225,9 @@
         await rig.others()[0].close_session(caller.session)
         await asyncio.sleep(0.1)
         assert all(
-            not desk.transactions for proxy in rig.owners() for desk in proxy.peer_handlers
+            not desk.transactions
+            for proxy in rig.owners()
+            for desk in proxy.peer_handlers
         )
 
     run(main())
--- a/tests/sessions/test_roster.py
+++ b/tests/sessions/test_roster.py
@@ -122,5 +122,7 @@
     """Guards against new work for a leaving member whose report the backup lacks."""
     roster, _ = make_roster()
     roster.update(member("a", leaving=True, changed=make_revision(1, 9)))
-    assert roster.update(member("a", changed=make_revision(2, 7))).leaving_since == 100.0
+    assert (
+        roster.update(member("a", changed=make_revision(2, 7))).leaving_since == 100.0
+    )
     assert roster.update(member("a", changed=make_revision(2, 8))).leaving_since is None
