--- a/packages/sessions/gypsum_sessions/measures.py
+++ b/packages/sessions/gypsum_sessions/measures.py
@@ -116,7 +116,9 @@
             self.feeds.set({"feed": name, "what": "known"}, number_of(feed.known))
             self.feeds.set({"feed": name, "what": "vouched"}, vouched)
             self.feeds.set({"feed": name, "what": "behind"}, int(feed.behind))
-            self.feeds.set({"feed": name, "what": "store_lost"}, int(feed.lost))
+            self.feeds.set(
+                {"feed": name, "what": "store_lost"}, int(feed.store_unreachable)
+            )
         for group in proxy.groups.values():
             for item in group.upstreams.values():
                 labels = {"group": group.name, "upstream": item.id}
--- a/tests/sessions/breaks.py
+++ b/tests/sessions/breaks.py
@@ -72,7 +72,7 @@
 
 async def write_that_is_repeated(self, job):
     """A write is sent to the next owner when its owner is lost."""
-    return await self.run(job, repeats=True)
+    return await self.run(job, repeatable=True)
 
 
 def told_as_rolled_back(exc):
