--- a/tests/sessions/breaks.py
+++ b/tests/sessions/breaks.py
@@ -72,7 +72,7 @@
 
 async def repeat_write(self, job):
     """Send a write to the next owner when its owner is lost."""
-    return await self.run(job, repeats=True)
+    return await self.run(job, repeatable=True)
 
 
 def report_as_aborted(exc):
