--- a/soak/standins.py
+++ b/soak/standins.py
@@ -12,7 +12,7 @@
 from collections import deque
 from itertools import count
 
-from gypsum_platform.takers import CONFIG_KIND, CONFIG_NAME, UPSTREAM_KIND
+from gypsum_platform.object_handlers import CONFIG_KIND, CONFIG_NAME, UPSTREAM_KIND
 from gypsum_sessions.replies import SessionState
 from soak.workspaces import tenants
 from tests.sessions.fakegroup import FakeMember
--- a/tests/platform/test_registrar.py
+++ b/tests/platform/test_registrar.py
@@ -4,9 +4,9 @@
 
 from gypsum_platform.feeds import Waker
 from gypsum_platform.leases import OWN_KIND
+from gypsum_platform.object_handlers import LINK_KEY, OwnTaker
 from gypsum_platform.registrar import Registrar
 from gypsum_platform.store import Store
-from gypsum_platform.takers import LINK_KEY, OwnTaker
 from gypsum_sessions.daemons.peers import PeerLost
 from gypsum_sessions.daemons.registry import DaemonEntry
 from tests.platform.test_store import RecallDouble
--- a/tests/platform/test_slow_links.py
+++ b/tests/platform/test_slow_links.py
@@ -6,8 +6,8 @@
 
 from gypsum_platform import exchange as exchange_module
 from gypsum_platform.feeds import Feed, Waker
+from gypsum_platform.object_handlers import ConfigTaker
 from gypsum_platform.store import Store, StoreError
-from gypsum_platform.takers import ConfigTaker
 from tests.platform.test_store import ProxyDouble, config, until, with_store
 
 # A configuration of some 1,600 routes, bytes, and a link that carries it in half a
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -10,6 +10,7 @@
 from gypsum_platform import store as store_module
 from gypsum_platform.feeds import Feed, Waker
 from gypsum_platform.leases import PlatformPromoter, StoreLeases
+from gypsum_platform.object_handlers import ConfigTaker, OwnTaker, UpstreamTaker
 from gypsum_platform.records import StoreRecords
 from gypsum_platform.store import (
     Conflict,
@@ -19,7 +20,6 @@
     StoreError,
     read_json,
 )
-from gypsum_platform.takers import ConfigTaker, OwnTaker, UpstreamTaker
 from gypsum_sessions.daemons.peermessages import FeedUpdate
 from gypsum_sessions.daemons.relay import Relay
 from gypsum_sessions.interfaces import LeaseError, PromoteOutcome
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -7,8 +7,8 @@
 
 from gypsum_platform.entries import read_catalog, without_keys
 from gypsum_platform.feeds import Feed
+from gypsum_platform.object_handlers import CONFIG_NAME, ConfigTaker
 from gypsum_platform.store import StoredObject
-from gypsum_platform.takers import CONFIG_NAME, ConfigTaker
 from gypsum_platform.upstream import WHO, WireConn, WireDialer
 from gypsum_policy.ratelimit import Cap
 from gypsum_sessions.callers.keys import digest_of
--- a/tests/sessions/feedrig.py
+++ b/tests/sessions/feedrig.py
@@ -6,6 +6,7 @@
 from random import Random
 
 from gypsum_platform.feeds import Feed, Waker, longest_silence
+from gypsum_platform.object_handlers import CONFIG_KIND, CONFIG_WATCH_MS
 from gypsum_platform.store import (
     WATCH_MARGIN,
     WATCH_MS,
@@ -14,7 +15,6 @@
     StoredObject,
     StoreError,
 )
-from gypsum_platform.takers import CONFIG_KIND, CONFIG_WATCH_MS
 from gypsum_policy.revisions import era_of, make_revision, number_of
 from tests.sessions.rig import Rig
 
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -10,15 +10,15 @@
 
 from gypsum_platform.feeds import Feed, Waker
 from gypsum_platform.leases import OWN_KIND
-from gypsum_platform.registrar import Registrar
-from gypsum_platform.store import WATCH_MS, Conflict
-from gypsum_platform.takers import (
+from gypsum_platform.object_handlers import (
     CONFIG_KIND,
     CONFIG_WATCH_MS,
     UPSTREAM_GATHER,
     UPSTREAM_KIND,
     OwnTaker,
 )
+from gypsum_platform.registrar import Registrar
+from gypsum_platform.store import WATCH_MS, Conflict
 from gypsum_sessions.catalog import CatalogVersion, GroupSpec
 from gypsum_sessions.proxy import Proxy
 from gypsum_sessions.replies import UpstreamLost
--- a/tests/sessions/test_fleet_store_return.py
+++ b/tests/sessions/test_fleet_store_return.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gypsum_platform.leases import OWN_KIND
-from gypsum_platform.takers import DAEMON_PREFIX, LINK_KEY
+from gypsum_platform.object_handlers import DAEMON_PREFIX, LINK_KEY
 from gypsum_policy.membership import (
     REREGISTRATIONS_PER_S,
     missing_grace_period,
--- a/tests/standins/platformworld.py
+++ b/tests/standins/platformworld.py
@@ -10,7 +10,7 @@
 from itertools import count
 from pathlib import Path
 
-from gypsum_platform.takers import CONFIG_KIND, CONFIG_NAME, UPSTREAM_KIND
+from gypsum_platform.object_handlers import CONFIG_KIND, CONFIG_NAME, UPSTREAM_KIND
 from tests.sessions.fakegroup import FakeGroup
 from tests.standins.objectstore import ObjectStore
 from tests.standins.wireupstream import listen
