--- a/tests/platform/test_codec.py
+++ b/tests/platform/test_codec.py
@@ -20,7 +20,7 @@
     read_status_row,
     reply_lines,
 )
-from gypsum_platform.words import CODE_BY_REFUSAL
+from gypsum_platform.wire_codes import CODE_BY_REFUSAL
 from gypsum_sessions.replies import Refusal, Reply, SessionState
 from gypsum_sessions.statements import ROLLBACK, Statement, StatementKind
 
--- a/tests/standins/wireupstream.py
+++ b/tests/standins/wireupstream.py
@@ -12,7 +12,7 @@
     ready_line,
     split_line,
 )
-from gypsum_platform.words import CODE_BY_REFUSAL
+from gypsum_platform.wire_codes import CODE_BY_REFUSAL
 from gypsum_sessions.replies import Refusal, UpstreamError
 from gypsum_sessions.statements import Statement, StatementKind
 from tests.sessions.fakegroup import FakeConn
