--- a/tests/platform/test_front.py
+++ b/tests/platform/test_caller_protocol.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gypsum_platform.front import CallerConn
+from gypsum_platform.caller_protocol import CallerConn
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -12,8 +12,8 @@
 from gypsum_platform.upstream import WHO, WireConn, WireDialer
 from gypsum_policy.ratelimit import Cap
 from gypsum_sessions.callers.keys import digest_of
+from tests.platform.test_caller_protocol import talk
 from tests.platform.test_entries import CONFIG
-from tests.platform.test_front import talk
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 
