--- a/tests/platform/test_registrar.py
+++ b/tests/platform/test_registrar.py
@@ -4,7 +4,7 @@
 
 from gypsum_platform.feeds import Waker
 from gypsum_platform.leases import OWN_KIND
-from gypsum_platform.object_handlers import LINK_KEY, OwnTaker
+from gypsum_platform.object_handlers import LINK_KEY, SystemObjectHandler
 from gypsum_platform.registrar import Registrar
 from gypsum_platform.store import Store
 from gypsum_sessions.daemons.peers import PeerLost
@@ -40,9 +40,9 @@
         client = Store(address=stand_in.listen())
         proxy = RecallDouble()
         proxy.peers = PeersDouble(answering=answering)
-        taker = OwnTaker(proxy=proxy, own_name="d1")
+        handler = SystemObjectHandler(proxy=proxy, own_name="d1")
         registrar = Registrar(
-            store=client, own=OWN, taker=taker, log=proxy.log, waker=Waker()
+            store=client, own=OWN, handler=handler, log=proxy.log, waker=Waker()
         )
         await main(stand_in, client, registrar, proxy)
 
@@ -81,7 +81,7 @@
     """A daemon is registered and listed."""
     stand_in.put(OWN_KIND, f"daemon.{name}", {"domain": "a", "link": "x:1"})
     objects, _ = await client.list_objects(OWN_KIND)
-    registrar.taker.take_all(objects)
+    registrar.handler.take_all(objects)
 
 
 def test_a_daemon_that_does_not_answer_is_removed():
@@ -159,12 +159,12 @@
     """
 
     async def main(stand_in, client, registrar, proxy):
-        told, taker = [], registrar.taker
-        taker.rejoined = lambda: told.append(True)
+        told, handler = [], registrar.handler
+        handler.rejoined = lambda: told.append(True)
         await list_daemon(stand_in, client, registrar, "d1")
         assert told == [True]
         objects, _ = await client.list_objects(OWN_KIND)
-        taker.take_all(objects)
+        handler.take_all(objects)
         assert told == [True]
 
     with_registrar(main)
@@ -172,11 +172,11 @@
 
 def test_a_daemon_that_has_just_registered_was_not_there_before():
     async def main(stand_in, client, registrar, proxy):
-        told, taker = [], registrar.taker
-        taker.rejoined = lambda: told.append(True)
+        told, handler = [], registrar.handler
+        handler.rejoined = lambda: told.append(True)
         await registrar.write_entry()
         objects, _ = await client.list_objects(OWN_KIND)
-        taker.take_all(objects)
+        handler.take_all(objects)
         assert told == []
 
     with_registrar(main)
@@ -190,10 +190,10 @@
         running = asyncio.create_task(registrar.run())
         await asyncio.sleep(1.2)
         await list_daemon(stand_in, client, registrar, "d2")
-        key = registrar.taker.key
+        key = registrar.handler.key
         stand_in.return_from(empty)
         objects, _ = await client.list_objects(OWN_KIND)
-        registrar.taker.take_all(objects)
+        registrar.handler.take_all(objects)
         await asyncio.sleep(1.0)
         running.cancel()
         found = await entries(client)
--- a/tests/platform/test_slow_links.py
+++ b/tests/platform/test_slow_links.py
@@ -6,7 +6,7 @@
 
 from gypsum_platform import exchange as exchange_module
 from gypsum_platform.feeds import Feed, Waker
-from gypsum_platform.object_handlers import ConfigTaker
+from gypsum_platform.object_handlers import ConfigHandler
 from gypsum_platform.store import Store, StoreError
 from tests.platform.test_store import ProxyDouble, config, until, with_store
 
@@ -23,12 +23,12 @@
 
 def config_feed(client, proxy):
     """A feed of the configuration without a watcher to follow."""
-    taker = ConfigTaker(proxy=proxy)
+    handler = ConfigHandler(proxy=proxy)
     return Feed(
         store=client,
         kind="config",
-        take_all=taker.take_all,
-        take_change=taker.take_change,
+        take_all=handler.take_all,
+        take_change=handler.take_change,
         log=proxy.log,
         waker=Waker(),
     )
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -10,7 +10,11 @@
 from gypsum_platform import store as store_module
 from gypsum_platform.feeds import Feed, Waker
 from gypsum_platform.leases import PlatformPromoter, StoreLeases
-from gypsum_platform.object_handlers import ConfigTaker, OwnTaker, UpstreamTaker
+from gypsum_platform.object_handlers import (
+    ConfigHandler,
+    SystemObjectHandler,
+    UpstreamHandler,
+)
 from gypsum_platform.records import StoreRecords
 from gypsum_platform.store import (
     Conflict,
@@ -240,13 +244,13 @@
 def test_a_feed_lives_through_outages_and_lost_history():
     async def main(stand_in, client):
         proxy = ProxyDouble()
-        taker = ConfigTaker(proxy=proxy)
+        handler = ConfigHandler(proxy=proxy)
         stand_in.put("config", "main", config(1))
         feed = Feed(
             store=client,
             kind="config",
-            take_all=taker.take_all,
-            take_change=taker.take_change,
+            take_all=handler.take_all,
+            take_change=handler.take_change,
             log=proxy.log,
             waker=Waker(),
         )
@@ -339,11 +343,11 @@
 def test_an_unusable_configuration_or_entry_is_left_aside():
     proxy = ProxyDouble()
     broken = store_module.StoredObject(name="main", revision=3, spec={"routes": []})
-    ConfigTaker(proxy=proxy).take_all([broken])
-    taker = UpstreamTaker(store=None, log=proxy.log)
-    taker.proxy = proxy
+    ConfigHandler(proxy=proxy).take_all([broken])
+    handler = UpstreamHandler(store=None, log=proxy.log)
+    handler.proxy = proxy
     good = store_module.StoredObject(name="i-1", revision=1, spec=entry())
-    taker.take_all([good, store_module.StoredObject(name="x", revision=2, spec={})])
+    handler.take_all([good, store_module.StoredObject(name="x", revision=2, spec={})])
     assert proxy.versions == []
     assert set(proxy.members) == {"i-1"}
     assert ("store", "unusable configuration") in proxy.lines
@@ -372,12 +376,12 @@
         await records.save("g", [member, replace(member, id="v")])
         objects, _ = await client.list_objects("gypsumhitch")
         proxy = RecallDouble()
-        taker = OwnTaker(proxy=proxy, own_name="d")
-        taker.take_all(objects)
+        handler = SystemObjectHandler(proxy=proxy, own_name="d")
+        handler.take_all(objects)
         assert [item.id for item in proxy.recalled["g"]] == ["u", "v"]
         assert proxy.recalled["g"][0] == member
         proxy.recalled.clear()
-        taker.take_all(objects)
+        handler.take_all(objects)
         assert proxy.recalled == {}
         assert proxy.recorder.recorded["g"] == {("u", "x:1"), ("v", "x:1")}
 
@@ -386,10 +390,10 @@
 
 def test_an_unusable_record_is_left_aside():
     proxy = RecallDouble()
-    taker = OwnTaker(proxy=proxy, own_name="d")
+    handler = SystemObjectHandler(proxy=proxy, own_name="d")
     spec = {"members": [{"id": "u"}]}
-    taker.take_all([StoredObject(name="members.g", revision=1, spec=spec)])
-    taker.take_all([StoredObject(name="members.g", revision=1, spec={})])
+    handler.take_all([StoredObject(name="members.g", revision=1, spec=spec)])
+    handler.take_all([StoredObject(name="members.g", revision=1, spec={})])
     assert proxy.recalled == {}
     assert proxy.lines == [("store", "unusable record")] * 2
 
@@ -518,13 +522,13 @@
 
 def test_an_entry_that_turns_unusable_names_no_upstream_any_more():
     proxy = ProxyDouble()
-    taker = UpstreamTaker(store=None, log=proxy.log)
-    taker.proxy = proxy
+    handler = UpstreamHandler(store=None, log=proxy.log)
+    handler.proxy = proxy
     good = StoredObject(name="i-1", revision=1, spec=entry())
-    taker.take_change(store_module.Change(obj=good, deleted=False))
+    handler.take_change(store_module.Change(obj=good, deleted=False))
     bad = StoredObject(name="i-1", revision=2, spec={**entry(), "capacity": "5"})
     for _ in range(3):
-        taker.take_change(store_module.Change(obj=bad, deleted=False))
+        handler.take_change(store_module.Change(obj=bad, deleted=False))
     assert proxy.members == {}
     assert proxy.lines.count(("store", "unusable entry")) == 1
 
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -7,7 +7,7 @@
 
 from gypsum_platform.entries import read_catalog, without_keys
 from gypsum_platform.feeds import Feed
-from gypsum_platform.object_handlers import CONFIG_NAME, ConfigTaker
+from gypsum_platform.object_handlers import CONFIG_NAME, ConfigHandler
 from gypsum_platform.store import StoredObject
 from gypsum_platform.upstream import WHO, WireConn, WireDialer
 from gypsum_policy.ratelimit import Cap
@@ -63,9 +63,9 @@
 
     async def main():
         rig = Rig(keys=KEYS)
-        taker = ConfigTaker(proxy=rig.proxy)
+        handler = ConfigHandler(proxy=rig.proxy)
         spec = {**CONFIG, "configVersion": 9, "tenants": tenants}
-        taker.take(StoredObject(name=CONFIG_NAME, revision=5, spec=spec))
+        handler.take(StoredObject(name=CONFIG_NAME, revision=5, spec=spec))
         assert rig.proxy.catalog.version == 1
         told = [line for line in rig.lines if line[2] == "unusable configuration"]
         assert len(told) == 1
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -15,7 +15,7 @@
     CONFIG_WATCH_MS,
     UPSTREAM_GATHER,
     UPSTREAM_KIND,
-    OwnTaker,
+    SystemObjectHandler,
 )
 from gypsum_platform.registrar import Registrar
 from gypsum_platform.store import WATCH_MS, Conflict
@@ -149,21 +149,21 @@
         self.links.proxies[name] = proxy
         self.proxies.append(proxy)
         client = CountingClient(store=self.store, daemon=name, counts=self.counts)
-        own_taker = OwnTaker(
+        system_handler = SystemObjectHandler(
             proxy=proxy, own_name=name, rejoined=proxy.daemons.mark_rejoined
         )
         waker = Waker()
-        takers = {
+        handlers = {
             CONFIG_KIND: (FeedCopy(), 0.0),
             UPSTREAM_KIND: (FeedCopy(), UPSTREAM_GATHER),
-            OWN_KIND: (own_taker, 0.0),
+            OWN_KIND: (system_handler, 0.0),
         }
-        for kind, (taker, gather) in takers.items():
+        for kind, (handler, gather) in handlers.items():
             feed = Feed(
                 store=client,
                 kind=kind,
-                take_all=taker.take_all,
-                take_change=taker.take_change,
+                take_all=handler.take_all,
+                take_change=handler.take_change,
                 log=self.log,
                 waker=waker,
                 gather=gather,
@@ -178,7 +178,7 @@
         registrar = Registrar(
             store=client,
             own=proxy.daemons.own,
-            taker=own_taker,
+            handler=system_handler,
             log=self.log,
             waker=waker,
             rejoined=proxy.daemons.mark_rejoined,
