--- a/tests/platform/test_registrar.py
+++ b/tests/platform/test_registrar.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gypsum_platform.feeds import Waker
-from gypsum_platform.leases import OWN_KIND
+from gypsum_platform.leases import SYSTEM_KIND
 from gypsum_platform.object_handlers import LINK_KEY, SystemObjectHandler
 from gypsum_platform.registrar import Registrar
 from gypsum_platform.store import Store
@@ -51,7 +51,7 @@
 
 async def entries(client):
     """Names and contents of the system's own objects."""
-    objects, _ = await client.list_objects(OWN_KIND)
+    objects, _ = await client.list_objects(SYSTEM_KIND)
     return {obj.name: obj.spec for obj in objects}
 
 
@@ -70,7 +70,7 @@
 
 def test_the_entry_of_an_earlier_start_is_corrected():
     async def main(stand_in, client, registrar, proxy):
-        stand_in.put(OWN_KIND, "daemon.d1", {"domain": "a", "link": "old:1"})
+        stand_in.put(SYSTEM_KIND, "daemon.d1", {"domain": "a", "link": "old:1"})
         await registrar.write_entry()
         assert (await entries(client))["daemon.d1"]["link"] == "127.0.0.1:5"
 
@@ -79,8 +79,8 @@
 
 async def list_daemon(stand_in, client, registrar, name):
     """A daemon is registered and listed."""
-    stand_in.put(OWN_KIND, f"daemon.{name}", {"domain": "a", "link": "x:1"})
-    objects, _ = await client.list_objects(OWN_KIND)
+    stand_in.put(SYSTEM_KIND, f"daemon.{name}", {"domain": "a", "link": "x:1"})
+    objects, _ = await client.list_objects(SYSTEM_KIND)
     registrar.handler.take_all(objects)
 
 
@@ -111,7 +111,7 @@
 def test_an_entry_that_has_changed_meanwhile_is_kept():
     async def main(stand_in, client, registrar, proxy):
         await list_daemon(stand_in, client, registrar, "d2")
-        stand_in.put(OWN_KIND, "daemon.d2", {"domain": "a", "link": "new:1"})
+        stand_in.put(SYSTEM_KIND, "daemon.d2", {"domain": "a", "link": "new:1"})
         await registrar.remove_if_silent("d2")
         assert "daemon.d2" in await entries(client)
 
@@ -128,9 +128,9 @@
     async def main(stand_in, client, registrar, proxy):
         told = []
         registrar.rejoined = lambda: told.append(True)
-        stand_in.put(OWN_KIND, LINK_KEY, {"key": "k"})
+        stand_in.put(SYSTEM_KIND, LINK_KEY, {"key": "k"})
         entry = {"domain": OWN.domain, "link": OWN.link}
-        stand_in.put(OWN_KIND, "daemon.d1", entry)
+        stand_in.put(SYSTEM_KIND, "daemon.d1", entry)
         running = asyncio.create_task(registrar.run())
         await list_daemon(stand_in, client, registrar, "d2")
         await asyncio.sleep(1.2)
@@ -163,7 +163,7 @@
         handler.rejoined = lambda: told.append(True)
         await list_daemon(stand_in, client, registrar, "d1")
         assert told == [True]
-        objects, _ = await client.list_objects(OWN_KIND)
+        objects, _ = await client.list_objects(SYSTEM_KIND)
         handler.take_all(objects)
         assert told == [True]
 
@@ -175,7 +175,7 @@
         told, handler = [], registrar.handler
         handler.rejoined = lambda: told.append(True)
         await registrar.write_entry()
-        objects, _ = await client.list_objects(OWN_KIND)
+        objects, _ = await client.list_objects(SYSTEM_KIND)
         handler.take_all(objects)
         assert told == []
 
@@ -192,7 +192,7 @@
         await list_daemon(stand_in, client, registrar, "d2")
         key = registrar.handler.key
         stand_in.return_from(empty)
-        objects, _ = await client.list_objects(OWN_KIND)
+        objects, _ = await client.list_objects(SYSTEM_KIND)
         registrar.handler.take_all(objects)
         await asyncio.sleep(1.0)
         running.cancel()
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -9,11 +9,11 @@
 from random import Random
 
 from gypsum_platform.feeds import Feed, Waker
-from gypsum_platform.leases import OWN_KIND
+from gypsum_platform.leases import SYSTEM_KIND
 from gypsum_platform.object_handlers import (
     CONFIG_KIND,
     CONFIG_WATCH_MS,
-    UPSTREAM_GATHER,
+    UPSTREAM_BATCH_INTERVAL,
     UPSTREAM_KIND,
     SystemObjectHandler,
 )
@@ -113,7 +113,7 @@
         self.loop = asyncio.get_running_loop()
         self.rng = Random(seed)
         self.store = VirtualStore()
-        self.store.kinds[OWN_KIND] = {}
+        self.store.kinds[SYSTEM_KIND] = {}
         self.store.put(CONFIG_KIND, "main", {"version": 1})
         for number in range(30):
             self.store.put(UPSTREAM_KIND, f"s{number}", {"address": f"a:{number}"})
@@ -155,8 +155,8 @@
         waker = Waker()
         handlers = {
             CONFIG_KIND: (FeedCopy(), 0.0),
-            UPSTREAM_KIND: (FeedCopy(), UPSTREAM_GATHER),
-            OWN_KIND: (system_handler, 0.0),
+            UPSTREAM_KIND: (FeedCopy(), UPSTREAM_BATCH_INTERVAL),
+            SYSTEM_KIND: (system_handler, 0.0),
         }
         for kind, (handler, gather) in handlers.items():
             feed = Feed(
@@ -168,7 +168,7 @@
                 waker=waker,
                 gather=gather,
                 caught_up=proxy.lease_view.record_revision
-                if kind == OWN_KIND
+                if kind == SYSTEM_KIND
                 else None,
                 relay=proxy.relay,
                 following=proxy.feed_follower,
--- a/tests/sessions/test_fleet_store_return.py
+++ b/tests/sessions/test_fleet_store_return.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gypsum_platform.leases import OWN_KIND
+from gypsum_platform.leases import SYSTEM_KIND
 from gypsum_platform.object_handlers import DAEMON_PREFIX, LINK_KEY
 from gypsum_policy.membership import (
     REREGISTRATIONS_PER_S,
@@ -25,7 +25,7 @@
     empty = rig.store.copy()
     await asyncio.sleep(SETTLED)
     assert rig.missing_peers() == []
-    key = rig.store.kinds[OWN_KIND][LINK_KEY].spec
+    key = rig.store.kinds[SYSTEM_KIND][LINK_KEY].spec
     rig.calls()
     rig.store.return_from(empty)
     return key
@@ -33,7 +33,7 @@
 
 def listed(rig):
     """Daemons that have an entry in the store."""
-    return [name for name in rig.store.kinds[OWN_KIND] if DAEMON_PREFIX in name]
+    return [name for name in rig.store.kinds[SYSTEM_KIND] if DAEMON_PREFIX in name]
 
 
 @pytest.mark.parametrize("daemons", [9, 65, 195])
@@ -44,11 +44,11 @@
         rig = FleetRig(daemons=daemons)
         key = await lose_all_entries(rig)
         for _ in range(20):
-            before = rig.calls()["create", OWN_KIND]
+            before = rig.calls()["create", SYSTEM_KIND]
             assert before <= MAX_WRITES
             await asyncio.sleep(1.0)
         assert len(listed(rig)) == daemons
-        assert rig.store.kinds[OWN_KIND][LINK_KEY].spec == key
+        assert rig.store.kinds[SYSTEM_KIND][LINK_KEY].spec == key
         assert rig.missing_peers() == []
 
     run(main())
