--- a/tests/platform/test_registrar.py
+++ b/tests/platform/test_registrar.py
@@ -81,7 +81,7 @@
     """A daemon is registered and listed."""
     stand_in.put(SYSTEM_KIND, f"daemon.{name}", {"domain": "a", "link": "x:1"})
     objects, _ = await client.list_objects(SYSTEM_KIND)
-    registrar.handler.take_all(objects)
+    registrar.handler.on_list(objects)
 
 
 def test_a_daemon_that_does_not_answer_is_removed():
@@ -127,7 +127,7 @@
 
     async def main(stand_in, client, registrar, proxy):
         told = []
-        registrar.rejoined = lambda: told.append(True)
+        registrar.on_rejoined = lambda: told.append(True)
         stand_in.put(SYSTEM_KIND, LINK_KEY, {"key": "k"})
         entry = {"domain": OWN.domain, "link": OWN.link}
         stand_in.put(SYSTEM_KIND, "daemon.d1", entry)
@@ -160,11 +160,11 @@
 
     async def main(stand_in, client, registrar, proxy):
         told, handler = [], registrar.handler
-        handler.rejoined = lambda: told.append(True)
+        handler.on_rejoined = lambda: told.append(True)
         await list_daemon(stand_in, client, registrar, "d1")
         assert told == [True]
         objects, _ = await client.list_objects(SYSTEM_KIND)
-        handler.take_all(objects)
+        handler.on_list(objects)
         assert told == [True]
 
     with_registrar(main)
@@ -173,10 +173,10 @@
 def test_a_daemon_that_has_just_registered_was_not_there_before():
     async def main(stand_in, client, registrar, proxy):
         told, handler = [], registrar.handler
-        handler.rejoined = lambda: told.append(True)
+        handler.on_rejoined = lambda: told.append(True)
         await registrar.write_entry()
         objects, _ = await client.list_objects(SYSTEM_KIND)
-        handler.take_all(objects)
+        handler.on_list(objects)
         assert told == []
 
     with_registrar(main)
@@ -193,7 +193,7 @@
         key = registrar.handler.key
         stand_in.return_from(empty)
         objects, _ = await client.list_objects(SYSTEM_KIND)
-        registrar.handler.take_all(objects)
+        registrar.handler.on_list(objects)
         await asyncio.sleep(1.0)
         running.cancel()
         found = await entries(client)
--- a/tests/platform/test_returned_store.py
+++ b/tests/platform/test_returned_store.py
@@ -207,12 +207,12 @@
     feed = Feed(
         store=ListDouble(make_revision(1, 99)),
         kind=KIND,
-        take_all=taken.append,
-        take_change=None,
+        on_list=taken.append,
+        on_change=None,
         log=lambda *args, **fields: None,
         waker=Waker(),
     )
-    feed.revision, feed.list_next = make_revision(2, 3), True
+    feed.revision, feed.list_required = make_revision(2, 3), True
     with pytest.raises(StoreError):
-        asyncio.run(feed.step())
+        asyncio.run(feed.poll_store())
     assert taken == []
--- a/tests/platform/test_slow_links.py
+++ b/tests/platform/test_slow_links.py
@@ -27,8 +27,8 @@
     return Feed(
         store=client,
         kind="config",
-        take_all=handler.take_all,
-        take_change=handler.take_change,
+        on_list=handler.on_list,
+        on_change=handler.on_change,
         log=proxy.log,
         waker=Waker(),
     )
@@ -108,7 +108,7 @@
         proxy = ProxyDouble()
         stand_in.put("config", "main", large_config(1))
         feed = config_feed(client, proxy)
-        await feed.step()
+        await feed.poll_store()
         stand_in.rate = LINK
         for version in range(2, 14):
             stand_in.put("config", "main", large_config(version))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -249,8 +249,8 @@
         feed = Feed(
             store=client,
             kind="config",
-            take_all=handler.take_all,
-            take_change=handler.take_change,
+            on_list=handler.on_list,
+            on_change=handler.on_change,
             log=proxy.log,
             waker=Waker(),
         )
@@ -274,16 +274,16 @@
         feed = Feed(
             store=client,
             kind="gypsumhitch",
-            take_all=lambda objects: None,
-            take_change=lambda change: None,
+            on_list=lambda objects: None,
+            on_change=lambda change: None,
             log=ProxyDouble().log,
             waker=Waker(),
-            caught_up=told.append,
+            on_caught_up=told.append,
         )
         first = await client.create("gypsumhitch", "lease.a", {})
-        await feed.step()
+        await feed.poll_store()
         second = await client.create("gypsumhitch", "lease.b", {})
-        await feed.step()
+        await feed.poll_store()
         assert first.revision <= told[0] < second.revision <= told[1]
         assert second.created == second.revision
 
@@ -321,14 +321,14 @@
             Feed(
                 store=store,
                 kind=kind,
-                take_all=lambda objects: None,
-                take_change=None,
+                on_list=lambda objects: None,
+                on_change=None,
                 log=proxy.log,
                 waker=waker,
             )
             for kind in store.calls
         ]
-        feeds[0].pause, feeds[1].pause = 0.05, 500.0
+        feeds[0].retry_backoff, feeds[1].retry_backoff = 0.05, 500.0
         tasks = [asyncio.create_task(feed.run()) for feed in feeds]
         await until(lambda: store.calls["second"] == 1)
         store.away = False
@@ -343,11 +343,11 @@
 def test_an_unusable_configuration_or_entry_is_left_aside():
     proxy = ProxyDouble()
     broken = store_module.StoredObject(name="main", revision=3, spec={"routes": []})
-    ConfigHandler(proxy=proxy).take_all([broken])
+    ConfigHandler(proxy=proxy).on_list([broken])
     handler = UpstreamHandler(store=None, log=proxy.log)
     handler.proxy = proxy
     good = store_module.StoredObject(name="i-1", revision=1, spec=entry())
-    handler.take_all([good, store_module.StoredObject(name="x", revision=2, spec={})])
+    handler.on_list([good, store_module.StoredObject(name="x", revision=2, spec={})])
     assert proxy.versions == []
     assert set(proxy.members) == {"i-1"}
     assert ("store", "unusable configuration") in proxy.lines
@@ -377,11 +377,11 @@
         objects, _ = await client.list_objects("gypsumhitch")
         proxy = RecallDouble()
         handler = SystemObjectHandler(proxy=proxy, own_name="d")
-        handler.take_all(objects)
+        handler.on_list(objects)
         assert [item.id for item in proxy.recalled["g"]] == ["u", "v"]
         assert proxy.recalled["g"][0] == member
         proxy.recalled.clear()
-        handler.take_all(objects)
+        handler.on_list(objects)
         assert proxy.recalled == {}
         assert proxy.recorder.recorded["g"] == {("u", "x:1"), ("v", "x:1")}
 
@@ -392,8 +392,8 @@
     proxy = RecallDouble()
     handler = SystemObjectHandler(proxy=proxy, own_name="d")
     spec = {"members": [{"id": "u"}]}
-    handler.take_all([StoredObject(name="members.g", revision=1, spec=spec)])
-    handler.take_all([StoredObject(name="members.g", revision=1, spec={})])
+    handler.on_list([StoredObject(name="members.g", revision=1, spec=spec)])
+    handler.on_list([StoredObject(name="members.g", revision=1, spec={})])
     assert proxy.recalled == {}
     assert proxy.lines == [("store", "unusable record")] * 2
 
@@ -454,8 +454,8 @@
         feed = Feed(
             store=store,
             kind="config",
-            take_all=None,
-            take_change=None,
+            on_list=None,
+            on_change=None,
             log=proxy.log,
             waker=Waker(),
         )
@@ -525,10 +525,10 @@
     handler = UpstreamHandler(store=None, log=proxy.log)
     handler.proxy = proxy
     good = StoredObject(name="i-1", revision=1, spec=entry())
-    handler.take_change(store_module.Change(obj=good, deleted=False))
+    handler.on_change(store_module.Change(obj=good, deleted=False))
     bad = StoredObject(name="i-1", revision=2, spec={**entry(), "capacity": "5"})
     for _ in range(3):
-        handler.take_change(store_module.Change(obj=bad, deleted=False))
+        handler.on_change(store_module.Change(obj=bad, deleted=False))
     assert proxy.members == {}
     assert proxy.lines.count(("store", "unusable entry")) == 1
 
@@ -593,26 +593,24 @@
     async def main(stand_in, client):
         stand_in.put("k", "a", {})
         lists, changes = [], []
-        following = FollowingDouble(
+        follower = FollowingDouble(
             news(5, ["b"]), news(6, removed=("a",)), news(9, ["c"], whole=True)
         )
         feed = Feed(
             store=client,
             kind="k",
-            take_all=lambda objects: lists.append([obj.name for obj in objects]),
-            take_change=lambda change: changes.append(
-                (change.obj.name, change.deleted)
-            ),
+            on_list=lambda objects: lists.append([obj.name for obj in objects]),
+            on_change=lambda change: changes.append((change.obj.name, change.deleted)),
             log=lambda *args, **fields: None,
             waker=Waker(),
-            following=following,
+            follower=follower,
         )
         task = asyncio.create_task(feed.run())
         await until(lambda: len(lists) == 2)
         task.cancel()
         assert lists == [["a"], ["c"]]
         assert changes == [("b", False), ("a", True)]
-        assert following.known == [1, 5, 6, 9]
+        assert follower.known == [1, 5, 6, 9]
 
     with_store(main)
 
@@ -634,16 +632,16 @@
             self.calls += 1
             raise StoreError("away", step="watch", peer="store")
 
-    async def calls_in(seconds, following, seed):
+    async def calls_in(seconds, follower, seed):
         store = AwayStore()
         feed = Feed(
             store=store,
             kind="k",
-            take_all=None,
-            take_change=None,
+            on_list=None,
+            on_change=None,
             log=lambda *args, **fields: None,
             waker=Waker(),
-            following=following,
+            follower=follower,
         )
         feed.revision = 1
         feed.rng = Random(seed)
@@ -671,8 +669,8 @@
     class Store:
         """One object listed, another one changed; what a call ends, it begins with."""
 
-        def __init__(self, following):
-            self.following = following
+        def __init__(self, follower):
+            self.follower = follower
 
         async def list_objects(self, kind):
             """The whole list."""
@@ -680,7 +678,7 @@
 
         async def watch(self, kind, revision, *, wait_ms):
             """A change, and this daemon is a watcher from now on."""
-            self.following.watcher = True
+            self.follower.watcher = True
             obj = StoredObject(name="b", revision=2, spec={})
             return [store_module.Change(obj=obj, deleted=False)], 2
 
@@ -694,22 +692,22 @@
             return self.watcher
 
     async def main():
-        following = Turning()
+        follower = Turning()
         relay = Relay(clock=time.monotonic, in_touch_for=5.0, watches=lambda: True)
         feed = Feed(
-            store=Store(following),
+            store=Store(follower),
             kind="k",
-            take_all=lambda objects: None,
-            take_change=lambda change: None,
+            on_list=lambda objects: None,
+            on_change=lambda change: None,
             log=lambda *args, **fields: None,
             waker=Waker(),
             relay=relay,
-            following=following,
+            follower=follower,
         )
-        await feed.step()
-        await feed.step()
+        await feed.poll_store()
+        await feed.poll_store()
         assert not relay.has_feed("k")
-        await feed.step()
+        await feed.poll_store()
         assert set(relay.feeds["k"].objects) == {"a"}
 
     asyncio.run(main())
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -99,14 +99,14 @@
     feed = Feed(
         store=None,
         kind="config",
-        take_all=None,
-        take_change=None,
+        on_list=None,
+        on_change=None,
         log=None,
         waker=None,
         relay=relay,
-        passed=without_keys,
+        relay_transform=without_keys,
     )
-    feed.pass_all([StoredObject(name=CONFIG_NAME, revision=5, spec=KEYED)], 5)
+    feed.relay_list([StoredObject(name=CONFIG_NAME, revision=5, spec=KEYED)], 5)
     assert "apiKeys" not in json.dumps(relay.passed)
 
 
--- a/tests/sessions/feedrig.py
+++ b/tests/sessions/feedrig.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from random import Random
 
-from gypsum_platform.feeds import Feed, Waker, longest_silence
+from gypsum_platform.feeds import Feed, Waker, watch_timeout
 from gypsum_platform.object_handlers import CONFIG_KIND, CONFIG_WATCH_MS
 from gypsum_platform.store import (
     WATCH_MARGIN,
@@ -184,11 +184,11 @@
     def __init__(self):
         self.specs = {}
 
-    def take_all(self, objects):
+    def on_list(self, objects):
         """Replace the copy by a whole list."""
         self.specs = {obj.name: obj.spec for obj in objects}
 
-    def take_change(self, change):
+    def on_change(self, change):
         """Apply a changed or deleted object."""
         if change.deleted:
             self.specs.pop(change.obj.name, None)
@@ -217,17 +217,17 @@
         client = VirtualClient(store=self.store, daemon=proxy.name)
         self.clients[proxy.name] = client
         self.copies[proxy.name] = {kind: FeedCopy() for kind in KINDS}
-        proxy.relay.set_confirmation_time(CONFIG_KIND, longest_silence(CONFIG_WATCH_MS))
+        proxy.relay.set_confirmation_time(CONFIG_KIND, watch_timeout(CONFIG_WATCH_MS))
         for kind, copy in self.copies[proxy.name].items():
             feed = Feed(
                 store=client,
                 kind=kind,
-                take_all=copy.take_all,
-                take_change=copy.take_change,
+                on_list=copy.on_list,
+                on_change=copy.on_change,
                 log=proxy.log,
                 waker=waker,
                 relay=proxy.relay,
-                following=proxy.feed_follower,
+                follower=proxy.feed_follower,
                 watch_ms=CONFIG_WATCH_MS if kind == CONFIG_KIND else WATCH_MS,
             )
             feed.rng = rng
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -150,7 +150,7 @@
         self.proxies.append(proxy)
         client = CountingClient(store=self.store, daemon=name, counts=self.counts)
         system_handler = SystemObjectHandler(
-            proxy=proxy, own_name=name, rejoined=proxy.daemons.mark_rejoined
+            proxy=proxy, own_name=name, on_rejoined=proxy.daemons.mark_rejoined
         )
         waker = Waker()
         handlers = {
@@ -158,20 +158,20 @@
             UPSTREAM_KIND: (FeedCopy(), UPSTREAM_BATCH_INTERVAL),
             SYSTEM_KIND: (system_handler, 0.0),
         }
-        for kind, (handler, gather) in handlers.items():
+        for kind, (handler, batch_interval) in handlers.items():
             feed = Feed(
                 store=client,
                 kind=kind,
-                take_all=handler.take_all,
-                take_change=handler.take_change,
+                on_list=handler.on_list,
+                on_change=handler.on_change,
                 log=self.log,
                 waker=waker,
-                gather=gather,
-                caught_up=proxy.lease_view.record_revision
+                batch_interval=batch_interval,
+                on_caught_up=proxy.lease_view.record_revision
                 if kind == SYSTEM_KIND
                 else None,
                 relay=proxy.relay,
-                following=proxy.feed_follower,
+                follower=proxy.feed_follower,
                 watch_ms=CONFIG_WATCH_MS if kind == CONFIG_KIND else WATCH_MS,
             )
             proxy.keep_running(feed.run)
@@ -181,7 +181,7 @@
             handler=system_handler,
             log=self.log,
             waker=waker,
-            rejoined=proxy.daemons.mark_rejoined,
+            on_rejoined=proxy.daemons.mark_rejoined,
         )
         for work in (registrar.run, proxy.relay.run, proxy.feed_follower.run):
             proxy.keep_running(work)
