--- a/tests/platform/test_caller_protocol.py
+++ b/tests/platform/test_caller_protocol.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gypsum_platform.caller_protocol import CallerConn
+from gypsum_platform.caller_protocol import CallerProtocol
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 
@@ -51,7 +51,7 @@
 
 async def talk(rig, chunks, wait=0.5):
     """Send chunks of bytes; returns the transport."""
-    conn, transport = CallerConn(proxy=rig.proxy), FakeTransport()
+    conn, transport = CallerProtocol(proxy=rig.proxy), FakeTransport()
     conn.connection_made(transport)
     for chunk in chunks:
         conn.data_received(chunk)
@@ -145,7 +145,7 @@
         rig = Rig()
         await rig.settle()
         known, rig.proxy.catalog.current = rig.proxy.catalog.current, None
-        conn, transport = CallerConn(proxy=rig.proxy), FakeTransport()
+        conn, transport = CallerProtocol(proxy=rig.proxy), FakeTransport()
         conn.connection_made(transport)
         conn.data_received(b"STARTUP own u\r\n")
         await asyncio.sleep(1.0)
--- a/tests/platform/test_codec.py
+++ b/tests/platform/test_codec.py
@@ -9,16 +9,16 @@
     LineSplitter,
     LineTooLong,
     MalformedLine,
+    encode_query,
+    encode_reply,
     error_line,
-    position_text,
-    query_line,
+    format_position,
     read_position,
     read_ready,
     read_refusal,
     read_reply,
     read_statement,
     read_status_row,
-    reply_lines,
 )
 from gypsum_platform.wire_codes import CODE_BY_REFUSAL
 from gypsum_sessions.replies import Refusal, Reply, SessionState
@@ -31,16 +31,16 @@
 )
 def test_callers_texts_reach_the_upstream_unchanged(text):
     statement = read_statement(text)
-    assert query_line(statement, "id", None) == f"QUERY id {text}\r\n".encode()
+    assert encode_query(statement, "id", None) == f"QUERY id {text}\r\n".encode()
 
 
 def test_a_position_goes_before_the_text():
-    sent = query_line(read_statement("READ x"), "id", Position(term=3, index=7))
+    sent = encode_query(read_statement("READ x"), "id", Position(term=3, index=7))
     assert sent == b"QUERY id SYNCTO 3.7 READ x\r\n"
 
 
 def test_our_own_statements_carry_no_id():
-    assert query_line(ROLLBACK, "", None) == b"QUERY - ROLLBACK\r\n"
+    assert encode_query(ROLLBACK, "", None) == b"QUERY - ROLLBACK\r\n"
 
 
 @pytest.mark.parametrize(
@@ -114,7 +114,7 @@
     reply = Reply(
         rows=("a b", "c"), proof="p", state=state, position=Position(term=1, index=2)
     )
-    *rows, end, ready = reply_lines(reply).decode().split("\r\n")[:-1]
+    *rows, end, ready = encode_reply(reply).decode().split("\r\n")[:-1]
     again = read_reply(
         [row.partition(" ")[2] for row in rows],
         tuple(end.split(" ", 1)),
@@ -145,7 +145,7 @@
 
 def test_positions():
     assert read_position("-") is None
-    assert position_text(read_position("3.1207")) == "3.1207"
+    assert format_position(read_position("3.1207")) == "3.1207"
     with pytest.raises(ValueError):
         read_position("three")
     with pytest.raises(MalformedLine):
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -23,16 +23,16 @@
 
 def test_an_era_that_another_daemon_has_seen_makes_earlier_ones_unexpected():
     eras, _ = tracker()
-    eras.take(answer("3"))
+    eras.observe(answer("3"))
     eras.advance(4)
     eras.advance(2)
-    assert not eras.take(answer("3"))
+    assert not eras.observe(answer("3"))
     assert eras.current == 4
 
 
 def test_a_rise_is_reported_and_the_first_era_is_not():
     eras, reports = tracker()
-    assert [eras.take(answer(text)) for text in ("3", "3", "4")] == [True] * 3
+    assert [eras.observe(answer(text)) for text in ("3", "3", "4")] == [True] * 3
     assert reports == [("new era", {"era": 4, "before": 3})]
     assert eras.current == 4
 
@@ -42,13 +42,13 @@
 )
 def test_an_unusable_or_earlier_era_changes_nothing_and_is_reported_once(text):
     eras, reports = tracker()
-    eras.take(answer("3"))
-    assert [eras.take(answer(text)) for _ in range(3)] == [False] * 3
+    eras.observe(answer("3"))
+    assert [eras.observe(answer(text)) for _ in range(3)] == [False] * 3
     assert eras.current == 3
     assert reports == [("unexpected era", {"named": text, "era": 3})]
 
 
 def test_a_store_that_names_no_era_is_not_reported():
     eras, reports = tracker()
-    assert eras.take(answer())
+    assert eras.observe(answer())
     assert (eras.current, reports) == (0, [])
--- a/tests/platform/test_exchange.py
+++ b/tests/platform/test_exchange.py
@@ -44,7 +44,7 @@
             method="GET",
             address=f"127.0.0.1:{port}",
             path="/",
-            first_byte=5.0,
+            first_byte_timeout=5.0,
             **options,
         )
         try:
@@ -88,12 +88,12 @@
 def test_an_answer_that_tells_its_length_is_not_read_if_it_is_too_long():
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n"
     with pytest.raises(AnswerTooLong):
-        answers(head, closes=False, most_bytes=99)
-    assert len(answers(head + b"x" * 100, most_bytes=100).body) == 100
+        answers(head, closes=False, max_bytes=99)
+    assert len(answers(head + b"x" * 100, max_bytes=100).body) == 100
 
 
 def test_an_address_that_is_none_is_an_error():
-    call = Call(method="GET", address="10.0.0.1:http", path="/", first_byte=1.0)
+    call = Call(method="GET", address="10.0.0.1:http", path="/", first_byte_timeout=1.0)
     with pytest.raises(CallFailed):
         asyncio.run(exchange(call))
 
--- a/tests/platform/test_main.py
+++ b/tests/platform/test_main.py
@@ -28,10 +28,10 @@
     """
     program = ModuleType("gypsum_platform.daemon")
 
-    def run(path, *, told_to_stop):
-        assert not told_to_stop()
+    def run(path, *, stop_requested):
+        assert not stop_requested()
         signal.getsignal(signal.SIGTERM)(signal.SIGTERM, None)
-        assert told_to_stop()
+        assert stop_requested()
         return 0
 
     program.run = run
@@ -60,4 +60,4 @@
             }
         )
     )
-    assert run(str(path), told_to_stop=lambda: True) == 0
+    assert run(str(path), stop_requested=lambda: True) == 0
--- a/tests/platform/test_registrar.py
+++ b/tests/platform/test_registrar.py
@@ -87,7 +87,7 @@
 def test_a_daemon_that_does_not_answer_is_removed():
     async def main(stand_in, client, registrar, proxy):
         await list_daemon(stand_in, client, registrar, "d2")
-        await registrar.remove_if_silent("d2")
+        await registrar.remove_if_unreachable("d2")
         assert "daemon.d2" not in await entries(client)
 
     with_registrar(main)
@@ -102,7 +102,7 @@
 
     async def main(stand_in, client, registrar, proxy):
         await list_daemon(stand_in, client, registrar, "d2")
-        await registrar.remove_if_silent("d2")
+        await registrar.remove_if_unreachable("d2")
         assert "daemon.d2" in await entries(client)
 
     with_registrar(main, answering=("d2",))
@@ -112,7 +112,7 @@
     async def main(stand_in, client, registrar, proxy):
         await list_daemon(stand_in, client, registrar, "d2")
         stand_in.put(SYSTEM_KIND, "daemon.d2", {"domain": "a", "link": "new:1"})
-        await registrar.remove_if_silent("d2")
+        await registrar.remove_if_unreachable("d2")
         assert "daemon.d2" in await entries(client)
 
     with_registrar(main)
--- a/tests/platform/test_slow_links.py
+++ b/tests/platform/test_slow_links.py
@@ -85,7 +85,7 @@
     Sequence: the connection goes silent in the middle of an answer. Cause: only the
     first byte was waited for with a limit.
     """
-    monkeypatch.setattr(exchange_module, "SILENT_AFTER", 0.2)
+    monkeypatch.setattr(exchange_module, "IDLE_TIMEOUT", 0.2)
 
     async def main(stand_in, client):
         stand_in.put("config", "main", large_config(1))
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -130,7 +130,7 @@
         stand_in.refuse = status
         with pytest.raises(StoreError) as caught:
             await client.create("kind", "a", {})
-        assert not caught.value.may_be_done
+        assert not caught.value.may_be_executed
         assert caught.value.step == "create"
 
     with_store(main)
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -9,7 +9,7 @@
 from gypsum_platform.feeds import Feed
 from gypsum_platform.object_handlers import CONFIG_NAME, ConfigHandler
 from gypsum_platform.store import StoredObject
-from gypsum_platform.upstream import WHO, WireConn, WireDialer
+from gypsum_platform.upstream import DEFAULT_CLIENT_NAME, WireConn, WireDialer
 from gypsum_policy.ratelimit import Cap
 from gypsum_sessions.callers.keys import digest_of
 from tests.platform.test_caller_protocol import talk
@@ -142,7 +142,9 @@
     run(main())
 
 
-@pytest.mark.parametrize(("workspace", "who"), [("north", "north"), ("", WHO)])
+@pytest.mark.parametrize(
+    ("workspace", "who"), [("north", "north"), ("", DEFAULT_CLIENT_NAME)]
+)
 def test_an_upstream_is_told_whose_statements_come(monkeypatch, workspace, who):
     async def main():
         rig = Rig()
