--- a/tests/platform/test_registrar.py
+++ b/tests/platform/test_registrar.py
@@ -3,10 +3,10 @@
 import asyncio
 
 from gypsum_platform.feeds import Waker
-from gypsum_platform.leases import OWN_KIND
+from gypsum_platform.leases import SYSTEM_KIND
+from gypsum_platform.object_handlers import LINK_KEY, SystemObjectHandler
 from gypsum_platform.registrar import Registrar
 from gypsum_platform.store import Store
-from gypsum_platform.takers import LINK_KEY, OwnTaker
 from gypsum_sessions.daemons.peers import PeerLost
 from gypsum_sessions.daemons.registry import DaemonEntry
 from tests.platform.test_store import RecallDouble
@@ -40,9 +40,9 @@
         client = Store(address=stand_in.listen())
         proxy = RecallDouble()
         proxy.peers = PeersDouble(answering=answering)
-        taker = OwnTaker(proxy=proxy, own_name="d1")
+        handler = SystemObjectHandler(proxy=proxy, own_name="d1")
         registrar = Registrar(
-            store=client, own=OWN, taker=taker, log=proxy.log, waker=Waker()
+            store=client, own=OWN, handler=handler, log=proxy.log, waker=Waker()
         )
         await main(stand_in, client, registrar, proxy)
 
@@ -51,7 +51,7 @@
 
 async def entries(client):
     """Names and contents of the system's own objects."""
-    objects, _ = await client.list_objects(OWN_KIND)
+    objects, _ = await client.list_objects(SYSTEM_KIND)
     return {obj.name: obj.spec for obj in objects}
 
 
@@ -70,7 +70,7 @@
 
 def test_the_entry_of_an_earlier_start_is_corrected():
     async def main(stand_in, client, registrar, proxy):
-        stand_in.put(OWN_KIND, "daemon.d1", {"domain": "a", "link": "old:1"})
+        stand_in.put(SYSTEM_KIND, "daemon.d1", {"domain": "a", "link": "old:1"})
         await registrar.write_entry()
         assert (await entries(client))["daemon.d1"]["link"] == "127.0.0.1:5"
 
@@ -79,15 +79,15 @@
 
 async def list_daemon(stand_in, client, registrar, name):
     """A daemon is registered and listed."""
-    stand_in.put(OWN_KIND, f"daemon.{name}", {"domain": "a", "link": "x:1"})
-    objects, _ = await client.list_objects(OWN_KIND)
-    registrar.taker.take_all(objects)
+    stand_in.put(SYSTEM_KIND, f"daemon.{name}", {"domain": "a", "link": "x:1"})
+    objects, _ = await client.list_objects(SYSTEM_KIND)
+    registrar.handler.on_list(objects)
 
 
 def test_a_daemon_that_does_not_answer_is_removed():
     async def main(stand_in, client, registrar, proxy):
         await list_daemon(stand_in, client, registrar, "d2")
-        await registrar.remove_if_silent("d2")
+        await registrar.remove_if_unreachable("d2")
         assert "daemon.d2" not in await entries(client)
 
     with_registrar(main)
@@ -102,7 +102,7 @@
 
     async def main(stand_in, client, registrar, proxy):
         await list_daemon(stand_in, client, registrar, "d2")
-        await registrar.remove_if_silent("d2")
+        await registrar.remove_if_unreachable("d2")
         assert "daemon.d2" in await entries(client)
 
     with_registrar(main, answering=("d2",))
@@ -111,8 +111,8 @@
 def test_an_entry_that_has_changed_meanwhile_is_kept():
     async def main(stand_in, client, registrar, proxy):
         await list_daemon(stand_in, client, registrar, "d2")
-        stand_in.put(OWN_KIND, "daemon.d2", {"domain": "a", "link": "new:1"})
-        await registrar.remove_if_silent("d2")
+        stand_in.put(SYSTEM_KIND, "daemon.d2", {"domain": "a", "link": "new:1"})
+        await registrar.remove_if_unreachable("d2")
         assert "daemon.d2" in await entries(client)
 
     with_registrar(main)
@@ -127,10 +127,10 @@
 
     async def main(stand_in, client, registrar, proxy):
         told = []
-        registrar.rejoined = lambda: told.append(True)
-        stand_in.put(OWN_KIND, LINK_KEY, {"key": "k"})
+        registrar.on_rejoined = lambda: told.append(True)
+        stand_in.put(SYSTEM_KIND, LINK_KEY, {"key": "k"})
         entry = {"domain": OWN.domain, "link": OWN.link}
-        stand_in.put(OWN_KIND, "daemon.d1", entry)
+        stand_in.put(SYSTEM_KIND, "daemon.d1", entry)
         running = asyncio.create_task(registrar.run())
         await list_daemon(stand_in, client, registrar, "d2")
         await asyncio.sleep(1.2)
@@ -159,12 +159,12 @@
     """
 
     async def main(stand_in, client, registrar, proxy):
-        told, taker = [], registrar.taker
-        taker.rejoined = lambda: told.append(True)
+        told, handler = [], registrar.handler
+        handler.on_rejoined = lambda: told.append(True)
         await list_daemon(stand_in, client, registrar, "d1")
         assert told == [True]
-        objects, _ = await client.list_objects(OWN_KIND)
-        taker.take_all(objects)
+        objects, _ = await client.list_objects(SYSTEM_KIND)
+        handler.on_list(objects)
         assert told == [True]
 
     with_registrar(main)
@@ -172,11 +172,11 @@
 
 def test_a_daemon_that_has_just_registered_was_not_there_before():
     async def main(stand_in, client, registrar, proxy):
-        told, taker = [], registrar.taker
-        taker.rejoined = lambda: told.append(True)
+        told, handler = [], registrar.handler
+        handler.on_rejoined = lambda: told.append(True)
         await registrar.write_entry()
-        objects, _ = await client.list_objects(OWN_KIND)
-        taker.take_all(objects)
+        objects, _ = await client.list_objects(SYSTEM_KIND)
+        handler.on_list(objects)
         assert told == []
 
     with_registrar(main)
@@ -190,10 +190,10 @@
         running = asyncio.create_task(registrar.run())
         await asyncio.sleep(1.2)
         await list_daemon(stand_in, client, registrar, "d2")
-        key = registrar.taker.key
+        key = registrar.handler.key
         stand_in.return_from(empty)
-        objects, _ = await client.list_objects(OWN_KIND)
-        registrar.taker.take_all(objects)
+        objects, _ = await client.list_objects(SYSTEM_KIND)
+        registrar.handler.on_list(objects)
         await asyncio.sleep(1.0)
         running.cancel()
         found = await entries(client)
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -7,13 +7,13 @@
 
 from gypsum_platform.entries import read_catalog, without_keys
 from gypsum_platform.feeds import Feed
+from gypsum_platform.object_handlers import CONFIG_NAME, ConfigHandler
 from gypsum_platform.store import StoredObject
-from gypsum_platform.takers import CONFIG_NAME, ConfigTaker
-from gypsum_platform.upstream import WHO, WireConn, WireDialer
+from gypsum_platform.upstream import DEFAULT_CLIENT_NAME, WireConn, WireDialer
 from gypsum_policy.ratelimit import Cap
 from gypsum_sessions.callers.keys import digest_of
+from tests.platform.test_caller_protocol import talk
 from tests.platform.test_entries import CONFIG
-from tests.platform.test_front import talk
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 
@@ -63,9 +63,9 @@
 
     async def main():
         rig = Rig(keys=KEYS)
-        taker = ConfigTaker(proxy=rig.proxy)
+        handler = ConfigHandler(proxy=rig.proxy)
         spec = {**CONFIG, "configVersion": 9, "tenants": tenants}
-        taker.take(StoredObject(name=CONFIG_NAME, revision=5, spec=spec))
+        handler.take(StoredObject(name=CONFIG_NAME, revision=5, spec=spec))
         assert rig.proxy.catalog.version == 1
         told = [line for line in rig.lines if line[2] == "unusable configuration"]
         assert len(told) == 1
@@ -99,14 +99,14 @@
     feed = Feed(
         store=None,
         kind="config",
-        take_all=None,
-        take_change=None,
+        on_list=None,
+        on_change=None,
         log=None,
         waker=None,
         relay=relay,
-        passed=without_keys,
+        relay_transform=without_keys,
     )
-    feed.pass_all([StoredObject(name=CONFIG_NAME, revision=5, spec=KEYED)], 5)
+    feed.relay_list([StoredObject(name=CONFIG_NAME, revision=5, spec=KEYED)], 5)
     assert "apiKeys" not in json.dumps(relay.passed)
 
 
@@ -142,7 +142,9 @@
     run(main())
 
 
-@pytest.mark.parametrize(("workspace", "who"), [("north", "north"), ("", WHO)])
+@pytest.mark.parametrize(
+    ("workspace", "who"), [("north", "north"), ("", DEFAULT_CLIENT_NAME)]
+)
 def test_an_upstream_is_told_whose_statements_come(monkeypatch, workspace, who):
     async def main():
         rig = Rig()
