--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -21,7 +21,7 @@
 
 from bench.logic import Bench, make_list
 from bench.path import processor_seconds
-from gypsum_core.events import InstancesListed, ManifestsSeen
+from gypsum_core.events import InstancesReceived, ManifestsReceived
 from gypsum_core.messages import Changes, Digest, InstanceChanges, ManifestEntry
 from gypsum_core.spec import DEFAULT_TUNING, Instance, InstanceRole
 from gypsum_links.codec import encode
@@ -120,16 +120,16 @@
         for n in range(UPSTREAMS)
     )
     whole = make_list(DAEMONS) + upstreams
-    bench.step(InstancesListed(instances=whole, revision=10))
+    bench.step(InstancesReceived(instances=whole, revision=10))
     begin = time.process_time()
     for revision in (11, 12, 13):
         changed = whole[: revision % 5] + whole[revision % 5 + 1 :]
-        bench.step(InstancesListed(instances=changed, revision=revision))
+        bench.step(InstancesReceived(instances=changed, revision=revision))
     list_ms = (time.process_time() - begin) / 3 * 1000
     begin = time.process_time()
     for version in range(2, 52):
         manifests = (accepted(make_spec("db1", version)),)
-        bench.step(ManifestsSeen(manifests=manifests, source="platform"))
+        bench.step(ManifestsReceived(manifests=manifests, source="platform"))
     manifest_ms = (time.process_time() - begin) / 50 * 1000
     return list_ms, manifest_ms
 
--- a/bench/logic.py
+++ b/bench/logic.py
@@ -9,10 +9,10 @@
 from gypsum_core import actions
 from gypsum_core.events import (
     CallerRequest,
-    InstancesListed,
-    ManifestsSeen,
-    Ran,
-    StatusKnown,
+    InstancesReceived,
+    ManifestsReceived,
+    StatementCompleted,
+    StatusReceived,
 )
 from gypsum_core.node import Node
 from gypsum_core.placement import Placement
@@ -61,9 +61,11 @@
         )
         self.replies = 0
         self.pending = []
-        self.step(InstancesListed(instances=instances))
+        self.step(InstancesReceived(instances=instances))
         manifests = tuple(accepted(make_spec(name)) for name in self.names)
-        self.step(ManifestsSeen(manifests=manifests, source="platform", complete=True))
+        self.step(
+            ManifestsReceived(manifests=manifests, source="platform", complete=True)
+        )
         self.owned = [name for name, item in self.node.homes.items() if item.rank == 0]
 
     def step(self, event):
@@ -84,8 +86,10 @@
         """The answer of a healthy group."""
         ids = {"op": action.op, "database": action.database}
         if isinstance(action, actions.Read):
-            return Ran(**ids, result=Result(columns=("a",), rows=((1,),)))
-        return StatusKnown(**ids, status=self.status(action))
+            return StatementCompleted(
+                **ids, result=Result(columns=("a",), rows=((1,),))
+            )
+        return StatusReceived(**ids, status=self.status(action))
 
     def status(self, action):
         """A level group's status."""
@@ -105,7 +109,7 @@
         for name in self.owned:
             self.node.homes[name].activate()
             self.node.homes[name].watch.poll_once()
-        for action in self.node.ctx.take():
+        for action in self.node.ctx.take_actions():
             if isinstance(action, actions.Probe):
                 self.pending.append(action)
         self.settle()
--- a/packages/core/gypsum_core/actions.py
+++ b/packages/core/gypsum_core/actions.py
@@ -1,4 +1,4 @@
-"""What the decision logic asks its shell to do."""
+"""Actions that the decision logic returns for the shell to carry out."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 class UpstreamAction(Action):
     """Work at one upstream; its event carries the same `op` back.
 
-    `timeout` is in seconds; the shell reports a `Failed` event when it is over.
+    `timeout` is in seconds; after it the shell reports a `Failed` event.
     """
 
     op: int
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Probe(UpstreamAction):
-    """Ask for the upstream's status; `fresh` opens a new connection for it."""
+    """Request the upstream's status; `fresh` opens a new connection for it."""
 
     fresh: bool = False
 
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LedgerRow:
-    """The ledger's entry for one write: who, which key, which content."""
+    """The ledger's entry for one write: member, idempotency key, fingerprint."""
 
     member: str
     key: str
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settle(UpstreamAction):
-    """Find out whether a key was written; if not, bar it from late arrival."""
+    """Find out whether a key was written; if not, block a later write of it."""
 
     row: LedgerRow
 
@@ -125,20 +125,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Abandon(UpstreamAction):
-    """Give up on a running `op`: its connection is discarded, never reused."""
+    """Abort a running `op`; its connection is discarded, never reused."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DropConnections(Action):
-    """Close the idle connections to an upstream: they have gone silent."""
+    """Close the idle connections to an upstream because they no longer respond."""
 
     database: str
     upstream: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Warm(Action):
-    """Keep `connections` open to an upstream and never open more than `limit`."""
+class SetPoolSize(Action):
+    """Keep `connections` open to an upstream, and never more than `limit`."""
 
     database: str
     upstream: str
@@ -156,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DropLink(Action):
-    """Close the link to a daemon that went silent; the next send opens a new one."""
+    """Close the link to an unresponsive daemon; the next send opens a new one."""
 
     peer: str
 
@@ -178,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Timer:
-    """What a timer is for: the part that set it, and one word of detail."""
+    """Purpose of a timer: the component that set it, and one word of detail."""
 
     part: str
     database: str = ""
@@ -187,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RecordStatus(Action):
-    """Tell the platform, best effort, who is primary at which position."""
+    """Report the primary and its position to the platform, best effort."""
 
     database: str
     primary: str
@@ -204,4 +204,4 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Exit(Action):
-    """The drain is over: the process may end."""
+    """The drain is complete: the process may exit."""
--- a/packages/core/gypsum_core/admission.py
+++ b/packages/core/gypsum_core/admission.py
@@ -50,7 +50,7 @@
             return self.ctx.now - since
         if self.home.view.primary is None:
             return 0.0
-        return self.home.failover.silence(self.home.view.primary)
+        return self.home.failover.unanswered_for(self.home.view.primary)
 
     def primary_service(self):
         """Seconds that one statement takes at the primary."""
--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from gypsum_core.actions import DropConnections
-from gypsum_core.events import Failed, Ran, Settled, StatusKnown
+from gypsum_core.events import Failed, Settled, StatementCompleted, StatusReceived
 from gypsum_core.jobs import SLOTTED, Work
 from gypsum_core.limits import RETRY_SOON
 from gypsum_core.records import Answer, Outcome, Reason, Verb
@@ -32,11 +32,11 @@
             del self.home.probing[operation.upstream]
         if operation.work in SLOTTED:
             seconds = self.ctx.now - operation.sent_at
-            ran = isinstance(event, Ran | Settled)
+            ran = isinstance(event, StatementCompleted | Settled)
             self.home.lanes[operation.upstream].leave(seconds if ran else None)
         if isinstance(event, Failed):
             self.on_failed(operation, event)
-        elif isinstance(event, StatusKnown):
+        elif isinstance(event, StatusReceived):
             self.on_status(operation, event.status)
         elif isinstance(event, Settled):
             self.on_settled(operation, event)
@@ -53,14 +53,14 @@
             self.home.watch.found_silent_connections(operation.upstream)
         self.home.learn(status, operation.sent_at)
         if operation.work is Work.FENCE:
-            self.home.failover.fenced(status, operation.term)
+            self.home.failover.on_fenced(status, operation.term)
         if operation.work is Work.PROMOTE:
-            self.home.failover.promoted(status)
+            self.home.failover.on_promoted(status)
         self.home.dispatch.pump()
 
     def on_ran(self, operation, event):
         """A statement ran at its upstream."""
-        self.home.failover.heard(operation.upstream)
+        self.home.failover.record_response(operation.upstream)
         job = operation.job
         if operation.work is Work.READ:
             self.answer_read(job, operation, event.result)
@@ -102,7 +102,7 @@
 
     def committed(self, job, operation, result, position):
         """A write is in the primary's log; it waits for its majority."""
-        self.home.view.observed(
+        self.home.view.record_log_end(
             sent_at=operation.sent_at, position=position, by=operation.upstream
         )
         self.home.recent.wrote(job.caller, position)
@@ -140,7 +140,7 @@
 
     def on_settled(self, operation, event):
         """The ledger decided a key; the decision needs a majority as well."""
-        self.home.failover.heard(operation.upstream)
+        self.home.failover.record_response(operation.upstream)
         job = operation.job
         job.settling = True
         if job.closed:
@@ -154,13 +154,13 @@
             self.home.claim.failed()
             self.home.watch.doubt(operation.upstream)
         if operation.work in (Work.FENCE, Work.PROMOTE):
-            self.home.failover.verb_failed(operation.upstream, operation.term)
+            self.home.failover.on_order_failed(operation.upstream, operation.term)
         job = operation.job
         if job is None:
             self.home.failover.check()
             return
         if event.reason is not None:
-            self.home.failover.heard(operation.upstream)
+            self.home.failover.record_response(operation.upstream)
         elif not event.stale and not event.claim_lost:
             self.home.watch.doubt(operation.upstream)
         if operation.work in (Work.TX_RUN, Work.TX_COMMIT):
@@ -171,7 +171,7 @@
         if event.reason is not None:
             self.home.refuse(job, event.reason, event.detail, peer=operation.upstream)
             return
-        if event.silent and not self.home.failover.suspicious(operation.upstream):
+        if event.silent and not self.home.failover.is_unresponsive(operation.upstream):
             self.ctx.emit(
                 DropConnections(
                     database=self.home.spec.name, upstream=operation.upstream
--- a/packages/core/gypsum_core/context.py
+++ b/packages/core/gypsum_core/context.py
@@ -1,4 +1,4 @@
-"""What every part of one daemon's logic shares during a step."""
+"""State that all components of a daemon's logic share during a step."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -13,7 +13,7 @@
 
     `now` is in seconds on any monotonic clock; the shell sets it before each
     step. `incarnation` differs after each restart, so that a restarted daemon
-    never mistakes its predecessor's claim for its own.
+    never takes the claim of its previous run for its own.
     """
 
     daemon: str
@@ -29,18 +29,18 @@
         """Add an action to this step's output."""
         self.actions.append(action)
 
-    def take(self):
-        """Hand over the actions collected so far."""
+    def take_actions(self):
+        """Return the actions collected so far and clear them."""
         taken, self.actions = self.actions, []
         return taken
 
     def next_op(self):
-        """Number an upstream action."""
+        """Return the number of the next upstream action."""
         self.last_op += 1
         return self.last_op
 
     def set_timer(self, delay, *, part, database="", detail=""):
-        """Ask to be woken after `delay` seconds."""
+        """Request a `TimerFired` event after `delay` seconds."""
         timer = Timer(part=part, database=database, detail=detail)
         self.emit(SetTimer(at=self.now + delay, timer=timer))
 
@@ -52,6 +52,6 @@
         """Write one log line."""
         self.emit(Log(part=part, text=text))
 
-    def token(self):
-        """A random name that nobody can guess or repeat by chance."""
+    def random_token(self):
+        """A random 128-bit name in hexadecimal: not guessable, no collisions."""
         return f"{self.rng.getrandbits(128):032x}"
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -47,7 +47,7 @@
                 continue
             self.home.close(job)
             self.home.office.redirect(
-                job.origin, job.request.id, self.home.failover.deputy
+                job.origin, job.request.id, self.home.failover.alternate_home
             )
 
     def pump_replicas(self):
@@ -92,7 +92,7 @@
         primary = self.home.view.primary
         if primary is None or self.home.failover.election is not None:
             return
-        if not self.home.failover.trusted(primary):
+        if not self.home.failover.accepts_work(primary):
             return
         lane = self.home.lanes[primary]
         while lane.free:
@@ -244,7 +244,7 @@
         waits for half its deadline, though the silence is known after 0.2 s.
         """
         for operation in list(self.home.operations.values()):
-            silent = self.home.failover.suspicious(operation.upstream)
+            silent = self.home.failover.is_unresponsive(operation.upstream)
             if operation.work is Work.READ and silent:
                 self.take_back(operation)
 
--- a/packages/core/gypsum_core/drain.py
+++ b/packages/core/gypsum_core/drain.py
@@ -5,49 +5,49 @@
 
 PART = "drain"
 CHECK_INTERVAL = 0.05
-LAST_RESORT = 30.0
+FORCED_EXIT_AFTER = 30.0
 
 
 class Drain:
-    """Hands new work on, lets running work end, then lets the process exit.
+    """Redirects new work, lets running work end, then lets the process exit.
 
-    What goes wrong without it: a restart cuts off requests in flight and their
-    callers cannot tell whether they were run.
+    Without it, a restart would abort requests in flight, and their callers could
+    not know whether they were run.
     """
 
-    def __init__(self, *, ctx, office):
+    def __init__(self, *, ctx, node):
         self.ctx = ctx
-        self.office = office
-        self.since = None
+        self.node = node
+        self.started_at = None
         self.exited = False
 
     def start(self):
-        """Stop taking new work as a home and tell everyone who may send it."""
-        if self.since is not None:
+        """Stop accepting new work as a home and notify all linked daemons."""
+        if self.started_at is not None:
             return
-        self.since = self.ctx.now
+        self.started_at = self.ctx.now
         self.ctx.draining = True
         self.ctx.log(PART, "started")
-        for peer in self.office.linked_peers():
+        for peer in self.node.linked_peers():
             self.ctx.send(peer, Leaving())
-        self.office.hand_over_queues()
+        self.node.hand_over_queues()
         self.check()
 
     def check(self):
-        """Exit when nothing is left to answer and the balancer has had time to notice.
+        """Exit when all requests are answered and the load balancer could react.
 
-        What goes wrong without that time: an idle daemon is gone before the balancer
-        has asked again whether it is ready, and new callers are refused.
+        Without the notice time, an idle daemon would exit before the balancer has
+        checked its readiness again, and new callers would be refused.
         """
         if self.exited:
             return
-        waited = self.ctx.now - self.since
+        waited = self.ctx.now - self.started_at
         if waited >= self.ctx.tuning.drain_limit:
-            self.office.end_transactions()
-        noticed = waited >= self.ctx.tuning.drain_notice
-        if (noticed and not self.office.busy()) or waited >= LAST_RESORT:
+            self.node.end_transactions()
+        notice_over = waited >= self.ctx.tuning.drain_notice
+        if (notice_over and not self.node.busy()) or waited >= FORCED_EXIT_AFTER:
             self.exited = True
-            self.ctx.log(PART, f"over after seconds={waited:.2f}")
+            self.ctx.log(PART, f"completed after seconds={waited:.2f}")
             self.ctx.emit(Exit())
             return
         self.ctx.set_timer(CHECK_INTERVAL, part=PART)
--- a/packages/core/gypsum_core/election.py
+++ b/packages/core/gypsum_core/election.py
@@ -1,4 +1,4 @@
-"""One attempt to install a primary: who promised, and who should lead."""
+"""One election of a primary: which members promised, and which to promote."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -10,19 +10,22 @@
 class Election:
     """One attempt to install a primary at `term`.
 
-    `accepted` holds the statuses of members that promised it, `settled` the names
-    of all that answered or failed; `unfit` had better not lead again.
+    `accepted` holds the statuses of members that promised it, `responded` the names
+    of all that answered or failed; `avoided` is
+    promoted only if the other accepting members are no majority.
     """
 
     term: int
-    started: float
+    started_at: float
     accepted: dict[str, Status] = field(default_factory=dict)
-    settled: set[str] = field(default_factory=set)
+    responded: set[str] = field(default_factory=set)
     candidate: str = ""
-    unfit: str = ""
+    avoided: str = ""
 
-    def best(self, *, majority: int, leaving: Callable[[str], bool]) -> Status:
-        """The member to promote: the longest log, then one that stays."""
+    def best_candidate(
+        self, *, majority: int, leaving: Callable[[str], bool]
+    ) -> Status:
+        """The member to promote: the longest log first, then one not leaving."""
 
         def preference(status):
             stays = not leaving(status.upstream)
@@ -31,13 +34,13 @@
         return max(self.candidates(majority), key=preference)
 
     def candidates(self, majority):
-        """The accepting members, less the unfit one if the rest is a majority.
+        """The accepting members, without `avoided` if the rest is a majority.
 
-        What goes wrong without it: a primary that is cut from its group but not
-        from us has the longest log, an unconfirmed tail, and is promoted again
-        and again. Any majority holds all confirmed writes, so it may be left out.
+        A primary that is partitioned from its group but not from this daemon has the
+        longest log, with an unconfirmed tail, and would be promoted repeatedly. Any
+        majority holds all confirmed writes, so it can be left out.
         """
         others = [
-            status for name, status in self.accepted.items() if name != self.unfit
+            status for name, status in self.accepted.items() if name != self.avoided
         ]
         return others if len(others) >= majority else list(self.accepted.values())
--- a/packages/core/gypsum_core/events.py
+++ b/packages/core/gypsum_core/events.py
@@ -1,4 +1,4 @@
-"""What the shell tells the decision logic."""
+"""Events that the shell passes to the decision logic."""
 
 from dataclasses import dataclass
 
@@ -21,8 +21,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CallerGone(Event):
-    """The caller hung up; its answer has nowhere to go."""
+class CallerDisconnected(Event):
+    """The caller disconnected; its answer cannot be delivered."""
 
     request: str
 
@@ -50,8 +50,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class InstancesListed(Event):
-    """The platform's list of instances, as lagging as it is.
+class InstancesReceived(Event):
+    """The platform's list of instances, which may lag.
 
     Seeds from the settings come as revision 0, below any of the platform's.
     """
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AcceptedManifest:
-    """A manifest that passed its border checks, with the text it came as."""
+    """A manifest that passed validation, with the text it was received as."""
 
     spec: DatabaseSpec
     entry: ManifestEntry
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ManifestsSeen(Event):
+class ManifestsReceived(Event):
     """Validated manifests from the platform or a peer (`source`)."""
 
     manifests: tuple[AcceptedManifest, ...]
@@ -78,28 +78,28 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class DrainAsked(Event):
+class DrainRequested(Event):
     """The process was asked to shut down gracefully."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UpstreamEvent(Event):
-    """Base of the answers to upstream actions: the same `op` and `database`."""
+    """Base of the results of upstream actions, with their `op` and `database`."""
 
     op: int
     database: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class StatusKnown(UpstreamEvent):
+class StatusReceived(UpstreamEvent):
     """Answer to Probe, Fence, Promote, Follow and Claim."""
 
     status: Status
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Ran(UpstreamEvent):
-    """A statement ran; writes carry a position at or after their own commit."""
+class StatementCompleted(UpstreamEvent):
+    """A statement completed; writes carry a position at or after their own commit."""
 
     result: Result
     position: Position | None = None
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settled(UpstreamEvent):
-    """A key's outcome is final at `position`: its result, or None if barred."""
+    """A key's outcome is final at `position`: its result, or None if blocked."""
 
     result: Result | None
     position: Position
@@ -118,10 +118,10 @@
     """An upstream action failed.
 
     `sent` is False when it provably had no effect (refused, or rolled back).
-    `reason` is set when the upstream itself refused for good. `stale` says that
-    the upstream is no primary any more, `claim_lost` that the group's claim names
-    another daemon; a transaction then is still open. `silent` says that no answer
-    came in time, as opposed to an error.
+    `reason` is set if the upstream itself refused the action permanently. `stale`
+    says that the upstream is no longer primary, `claim_lost` that the group's claim
+    names another daemon; a transaction is then still open. `silent` marks a timeout,
+    as opposed to an error.
     """
 
     sent: bool
--- a/packages/core/gypsum_core/failover.py
+++ b/packages/core/gypsum_core/failover.py
@@ -1,8 +1,8 @@
-"""Suspicion, election and repair of one database group's primary.
+"""Failure detection, election and repair for a database group's primary.
 
-Safety rests on the group alone: a term is promised by a majority before its
-primary is promoted, so any daemon may try at any time. What this module adds is
-restraint: it fences only when the primary is really out of service.
+Safety depends on the group alone: a majority promises a term before its primary
+is promoted, so any daemon may start an election at any time. This module avoids
+unnecessary elections: it fences only if the primary is really out of service.
 """
 
 from dataclasses import dataclass, field
@@ -19,29 +19,29 @@
 
 
 class Phase(StrEnum):
-    """What the machine is doing."""
+    """State of the failover state machine."""
 
     WATCH = "watch"
     FENCE = "fence"
     PROMOTE = "promote"
 
 
-class Surroundings(Protocol):
-    """What the machine asks of the home that owns it."""
+class FailoverHost(Protocol):
+    """Interface of the home that owns the failover."""
 
     def monitors(self) -> list[str]:
-        """Other daemons to ask whether they hear the primary."""
+        """Other daemons to ask whether the primary responds to them."""
 
     def launch(self, action) -> None:
-        """Emit an upstream action whose answer comes back to this machine."""
+        """Emit an upstream action whose result is passed to this failover."""
 
     def upstream_leaving(self, upstream: str) -> bool:
-        """Tell whether the instance list says that an upstream leaves."""
+        """Return whether the instance list marks an upstream as leaving."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Inquiry:
-    """The question to other daemons whether they hear the primary."""
+class PeerInquiry:
+    """A query to other daemons whether the primary responds to them."""
 
     nonce: int
     upstream: str
@@ -53,7 +53,7 @@
 class Failover:
     """Watches one group's primary and replaces it when it is out of service."""
 
-    def __init__(self, *, ctx, database, view, home: Surroundings):
+    def __init__(self, *, ctx, database, view, home: FailoverHost):
         self.ctx = ctx
         self.database = database
         self.view = view
@@ -63,74 +63,74 @@
         self.inquiry = None
         self.unanswered_since = {}
         self.heard_at = {}
-        self.doubted = set()
-        self.fresh_asked_at = {}
+        self.unverified = set()
+        self.new_connection_probed_at = {}
         self.leaderless_since = None
-        self.cut_since = None
+        self.partitioned_since = None
         self.backoff_until = 0.0
         self.vetoed_until = 0.0
-        self.deputy = ""
+        self.alternate_home = ""
         self.repaired_at = {}
         self.promotions = 0
 
-    # Knowledge
+    # Observations
 
-    def watch_from(self):
-        """Start watching: what was asked on an earlier visit does not count."""
+    def reset_monitoring(self):
+        """Start monitoring: discard unanswered requests of an earlier period."""
         self.unanswered_since.clear()
-        self.doubted.clear()
+        self.unverified.clear()
         self.leaderless_since = None
-        self.cut_since = None
+        self.partitioned_since = None
 
-    def asked(self, upstream):
-        """Note a question; silence counts from the first unanswered one."""
+    def record_request(self, upstream):
+        """Record a request; silence counts from the first unanswered one."""
         self.unanswered_since.setdefault(upstream, self.ctx.now)
 
-    def heard(self, upstream):
-        """Note any sign of life of an upstream."""
+    def record_response(self, upstream):
+        """Record any response of an upstream."""
         self.unanswered_since.pop(upstream, None)
         self.heard_at[upstream] = self.ctx.now
-        self.doubted.discard(upstream)
+        self.unverified.discard(upstream)
         if self.inquiry and self.inquiry.upstream == upstream:
             self.inquiry = None
         if upstream == self.view.primary:
             self.vetoed_until = 0.0
 
-    def doubt(self, upstream):
-        """Send an upstream nothing more until it gives a sign of life.
+    def mark_unverified(self, upstream):
+        """Send an upstream no more work until it responds.
 
-        What goes wrong without it: a dead primary refuses connections at once,
-        and every queued request burns its retries within milliseconds, long
-        before another primary is there.
+        A dead primary refuses connections immediately; without this, every queued
+        request would use up its retries within milliseconds, long before another
+        primary is available.
         """
         self.unanswered_since.setdefault(upstream, self.ctx.now)
-        self.doubted.add(upstream)
+        self.unverified.add(upstream)
 
-    def quiet_for(self, upstream):
-        """Seconds since an upstream's last sign of life, asked for or not."""
+    def since_last_response(self, upstream):
+        """Seconds since an upstream's last response of any kind."""
         return self.ctx.now - self.heard_at.get(upstream, float("-inf"))
 
-    def trusted(self, upstream):
-        """Tell whether new work may be sent to an upstream."""
-        return upstream not in self.doubted and not self.suspicious(upstream)
+    def accepts_work(self, upstream):
+        """Return whether new work may be sent to an upstream."""
+        return upstream not in self.unverified and not self.is_unresponsive(upstream)
 
-    def silence(self, upstream):
-        """Seconds that an upstream has left a question unanswered."""
+    def unanswered_for(self, upstream):
+        """Seconds that an upstream has left a request unanswered."""
         return self.ctx.now - self.unanswered_since.get(upstream, self.ctx.now)
 
     @property
     def vetoed(self):
-        """Tell whether another daemon hears a primary that we do not."""
+        """Whether another daemon reaches a primary that we do not."""
         return self.ctx.now < self.vetoed_until
 
-    def suspicious(self, upstream):
-        """Tell whether an upstream has been silent for a probe's time."""
-        return self.silence(upstream) > self.ctx.tuning.probe_timeout
+    def is_unresponsive(self, upstream):
+        """Return whether an upstream has not responded for the probe timeout."""
+        return self.unanswered_for(upstream) > self.ctx.tuning.probe_timeout
 
     # Decisions
 
     def check(self):
-        """Look at what is known and act; called after each change and poll."""
+        """Evaluate the observations and act; called after each change and poll."""
         if self.phase is not Phase.WATCH:
             self.check_election()
             return
@@ -138,15 +138,15 @@
             self.check_leaderless()
             return
         self.leaderless_since = None
-        if self.check_silent():
+        if self.check_unresponsive():
             return
-        if self.check_cut_from_group():
+        if self.check_partitioned_primary():
             return
         self.check_leaving()
         self.repair()
 
     def check_leaderless(self):
-        """No valid primary at the highest term: a promoter died half way."""
+        """No valid primary at the highest term: a promotion was interrupted."""
         now = self.ctx.now
         if self.leaderless_since is None:
             self.leaderless_since = now
@@ -156,37 +156,40 @@
             return
         self.start_election("no primary at the highest term")
 
-    def check_silent(self):
-        """Suspect a silent primary; tell whether it is under suspicion."""
+    def check_unresponsive(self):
+        """Handle an unresponsive primary; return whether it is unresponsive."""
         primary = self.view.primary
-        silence = self.silence(primary)
+        silence = self.unanswered_for(primary)
         tuning = self.ctx.tuning
         if silence < tuning.probe_timeout:
             return False
-        self.try_fresh(primary)
+        self.probe_new_connection(primary)
         if silence >= tuning.ask_after:
             self.ask_peers(primary)
         if silence >= tuning.suspect_after:
             self.decide(primary)
         return True
 
-    def try_fresh(self, upstream):
-        """Open a new connection before believing in a death.
+    def probe_new_connection(self, upstream):
+        """Probe on a new connection before treating an upstream as dead.
 
-        What goes wrong without it: a middlebox forgets open connections, they
-        go silent for good while the primary is well, and it would be deposed.
+        If a middlebox drops the state of open connections, they stay silent although
+        the primary is healthy, and it would be replaced.
         """
         now = self.ctx.now
-        if now - self.fresh_asked_at.get(upstream, -1.0) < self.ctx.tuning.ask_after:
+        if (
+            now - self.new_connection_probed_at.get(upstream, -1.0)
+            < self.ctx.tuning.ask_after
+        ):
             return
-        self.fresh_asked_at[upstream] = now
+        self.new_connection_probed_at[upstream] = now
         self.launch(Probe, upstream, fresh=True, timeout=self.ctx.tuning.probe_timeout)
 
     def ask_peers(self, primary):
-        """Ask other daemons once per suspicion whether they hear the primary.
+        """Ask other daemons, once per outage, whether the primary responds to them.
 
-        What goes wrong without it: one daemon alone loses its path to a healthy
-        primary and deposes it for everyone.
+        Otherwise a single daemon that loses its path to a healthy primary would
+        replace it for every daemon.
         """
         stale = self.inquiry and (
             self.ctx.now - self.inquiry.asked_at > self.ctx.tuning.suspect_after
@@ -194,49 +197,51 @@
         if self.inquiry and self.inquiry.upstream == primary and not stale:
             return
         nonce = self.ctx.next_op()
-        self.inquiry = Inquiry(nonce=nonce, upstream=primary, asked_at=self.ctx.now)
+        self.inquiry = PeerInquiry(nonce=nonce, upstream=primary, asked_at=self.ctx.now)
         question = AskPrimary(database=self.database, upstream=primary, nonce=nonce)
         for peer in self.home.monitors():
             self.ctx.send(peer, question)
 
-    def peer_said(self, peer, answer):
-        """Take in a peer's answer about the primary."""
+    def on_peer_answer(self, peer, answer):
+        """Process a peer's answer about the primary."""
         if not self.inquiry or self.inquiry.nonce != answer.nonce:
             return
-        side = self.inquiry.heard if answer.heard else self.inquiry.unheard
-        side.add(peer)
-        if self.silence(self.inquiry.upstream) >= self.ctx.tuning.suspect_after:
+        replies = self.inquiry.heard if answer.heard else self.inquiry.unheard
+        replies.add(peer)
+        if self.unanswered_for(self.inquiry.upstream) >= self.ctx.tuning.suspect_after:
             self.decide(self.inquiry.upstream)
 
     def decide(self, primary):
-        """Depose, stand back, or wait for more evidence."""
+        """Start an election, defer to a daemon that reaches the primary, or wait."""
         inquiry = self.inquiry
         if inquiry is None or self.vetoed or self.ctx.now < self.backoff_until:
             return
         if inquiry.heard:
-            self.deputy = min(inquiry.heard)
+            self.alternate_home = min(inquiry.heard)
             self.vetoed_until = self.ctx.now + self.ctx.tuning.veto_for
             self.ctx.log(
-                PART, f"{self.database}: {self.deputy} hears {primary}, we stand back"
+                PART,
+                f"{self.database}: no election, "
+                f"{self.alternate_home} reaches {primary}",
             )
             return
         asked = self.home.monitors()
         alone = not asked
-        corroborated = bool(inquiry.unheard) or self.replicas_miss(primary)
+        corroborated = bool(inquiry.unheard) or self.majority_lost_primary(primary)
         if alone or corroborated:
-            self.start_election(f"{primary} silent")
+            self.start_election(f"{primary} unresponsive")
 
     def reachable(self):
-        """Upstreams that answered within the suspicion time."""
+        """Upstreams that responded within `suspect_after`."""
         limit = self.ctx.tuning.suspect_after
         return [
             upstream
             for upstream in self.view.upstreams
-            if self.view.status(upstream) and self.silence(upstream) < limit
+            if self.view.status(upstream) and self.unanswered_for(upstream) < limit
         ]
 
-    def replicas_miss(self, primary):
-        """Tell whether no majority around the primary can hear it any more."""
+    def majority_lost_primary(self, primary):
+        """Return whether the primary no longer reaches a majority of the group."""
         limit_ms = self.ctx.tuning.suspect_after * 1000
         others = [name for name in self.reachable() if name != primary]
         if len(others) < self.view.majority:
@@ -246,113 +251,117 @@
         ]
         return len(self.view.upstreams) - len(missing) < self.view.majority
 
-    def check_cut_from_group(self):
-        """Replace a primary that answers us but whose replicas hear it no more.
+    def check_partitioned_primary(self):
+        """Replace a primary that answers this daemon but not its replicas.
 
-        What goes wrong without it: it takes writes that no replica receives,
-        none is ever confirmed, and writes stand still while it looks healthy.
+        It would accept writes that no replica receives, none would ever be
+        confirmed, and writes would stall while the primary looks healthy.
         """
-        if not self.replicas_miss(self.view.primary):
-            self.cut_since = None
+        if not self.majority_lost_primary(self.view.primary):
+            self.partitioned_since = None
             return False
-        if self.cut_since is None:
-            self.cut_since = self.ctx.now
-        if self.ctx.now - self.cut_since >= self.ctx.tuning.probe_timeout:
+        if self.partitioned_since is None:
+            self.partitioned_since = self.ctx.now
+        if self.ctx.now - self.partitioned_since >= self.ctx.tuning.probe_timeout:
             primary = self.view.primary
-            self.start_election(f"{primary} cut from its group", unfit=primary)
+            self.start_election(
+                f"{primary} partitioned from its group", avoided=primary
+            )
         return True
 
     def check_leaving(self):
-        """Move the primary off an upstream that leaves, once a replica is level."""
+        """Move the primary off a leaving upstream once a replica has caught up."""
         primary = self.view.primary
         if not self.home.upstream_leaving(primary):
             return
-        end = self.view.end()
-        level = [
+        end = self.view.log_end()
+        caught_up = [
             name
             for name in self.reachable()
             if name != primary
             and not self.home.upstream_leaving(name)
             and self.view.status(name).log_end.covers(end)
         ]
-        if level and self.ctx.now >= self.backoff_until:
-            self.start_election(f"{primary} leaves", unfit=primary)
+        if caught_up and self.ctx.now >= self.backoff_until:
+            self.start_election(f"{primary} is leaving", avoided=primary)
 
     # Election
 
-    def start_election(self, why, *, unfit=""):
-        """Fence the whole group at a term above all that we know of.
+    def start_election(self, why, *, avoided=""):
+        """Fence the whole group at a term above all known ones.
 
-        `unfit` names a member that had better not lead again.
+        `avoided` names a member to promote only if the others are no majority.
         """
         if self.ctx.now < self.backoff_until:
             return
         self.phase = Phase.FENCE
         self.inquiry = None
         term = self.view.highest_term + 1
-        self.election = Election(term=term, started=self.ctx.now, unfit=unfit)
+        self.election = Election(term=term, started_at=self.ctx.now, avoided=avoided)
         self.ctx.log(PART, f"{self.database}: {why}, fencing at term={term}")
         for upstream in self.view.upstreams:
             self.launch(Fence, upstream, term=term)
-        self.wake(self.ctx.tuning.fence_grace)
+        self.schedule_check(self.ctx.tuning.fence_grace)
 
-    def fenced(self, status, term):
+    def on_fenced(self, status, term):
         """An upstream answered a fence of `term`."""
         election = self.election
         if self.phase is not Phase.FENCE or election is None or term != election.term:
             return
-        election.settled.add(status.upstream)
+        election.responded.add(status.upstream)
         if status.promised == term:
             election.accepted[status.upstream] = status
         if status.promised > term:
-            self.give_up(f"{status.upstream} already promised term={status.promised}")
+            self.abort_election(
+                f"{status.upstream} already promised term={status.promised}"
+            )
             return
         self.check_election()
 
-    def verb_failed(self, upstream, term):
-        """A fence or promotion failed or got no answer."""
+    def on_order_failed(self, upstream, term):
+        """A fence or promotion failed or was not answered."""
         election = self.election
         if election is None or term != election.term:
             return
-        election.settled.add(upstream)
+        election.responded.add(upstream)
         if self.phase is Phase.PROMOTE and upstream == election.candidate:
-            self.give_up(f"promotion of {upstream} failed")
+            self.abort_election(f"promotion of {upstream} failed")
             return
         self.check_election()
 
     def check_election(self):
-        """Go on with an election when a majority has promised its term."""
+        """Continue an election once a majority has promised its term."""
         election = self.election
-        if self.ctx.now - election.started > 2 * self.ctx.tuning.verb_timeout:
-            self.give_up("no majority in time")
+        if self.ctx.now - election.started_at > 2 * self.ctx.tuning.verb_timeout:
+            self.abort_election("no majority in time")
             return
         if self.phase is not Phase.FENCE:
             return
-        everyone = len(election.settled) == len(self.view.upstreams)
-        graced = self.ctx.now - election.started >= self.ctx.tuning.fence_grace
+        all_responded = len(election.responded) == len(self.view.upstreams)
+        grace_over = self.ctx.now - election.started_at >= self.ctx.tuning.fence_grace
         if len(election.accepted) < self.view.majority:
-            if everyone:
-                self.give_up("no majority")
+            if all_responded:
+                self.abort_election("no majority")
             return
-        if everyone or graced:
-            self.promote_longest()
+        if all_responded or grace_over:
+            self.promote_longest_log()
 
-    def promote_longest(self):
+    def promote_longest_log(self):
         """Promote the member of the accepting majority whose log is longest.
 
         Every confirmed write is on a majority; it meets the accepting majority
         in at least one member, and the longest log is at least that one's.
         """
         election = self.election
-        best = election.best(
+        best = election.best_candidate(
             majority=self.view.majority, leaving=self.home.upstream_leaving
         )
         election.candidate = best.upstream
         self.phase = Phase.PROMOTE
         self.launch(Promote, best.upstream, term=election.term)
 
-    def promoted(self, status):
-        """The candidate leads: make the others follow and spread the news."""
+    def on_promoted(self, status):
+        """The candidate is primary: make the others follow and notify other daemons."""
         election = self.election
         if election is None or status.promised != election.term or not status.primary:
             return
@@ -362,11 +371,11 @@
             PART,
             f"{self.database}: promoted {status.upstream} at term={status.promised}",
         )
-        news = TermNews(
+        update = TermNews(
             database=self.database, term=status.promised, primary=status.upstream
         )
         for peer in self.home.monitors():
-            self.ctx.send(peer, news)
+            self.ctx.send(peer, update)
         self.ctx.emit(
             RecordStatus(
                 database=self.database,
@@ -377,35 +386,35 @@
         self.repaired_at.clear()
         self.repair()
 
-    def give_up(self, why):
-        """End an attempt; the next waits a random time so that rivals part."""
-        self.ctx.log(PART, f"{self.database}: election ended, {why}")
+    def abort_election(self, why):
+        """Abort the election; a random backoff separates competing daemons."""
+        self.ctx.log(PART, f"{self.database}: election aborted: {why}")
         self.end_election()
         pause = self.ctx.tuning.election_backoff * (1 + self.ctx.rng.random())
         self.backoff_until = self.ctx.now + pause
-        self.wake(pause)
+        self.schedule_check(pause)
 
     def end_election(self):
-        """Go back to watching."""
+        """Return to monitoring."""
         self.phase = Phase.WATCH
         self.election = None
         self.leaderless_since = None
-        self.cut_since = None
+        self.partitioned_since = None
 
     # Repair
 
     def repair(self):
         """Make every reachable member follow the primary of the highest term.
 
-        An old primary that returns would otherwise go on as a primary nobody
-        confirms, and a replica of an old term would never catch up.
+        An old primary that returns would otherwise stay a primary whose writes are
+        never confirmed, and a replica of an old term would never catch up.
         """
         for upstream in self.view.upstreams:
             status = self.view.status(upstream)
             if upstream == self.view.primary or status is None:
                 continue
-            astray = status.primary or status.follows != self.view.primary
-            if not astray and status.promised == self.view.term:
+            needs_follow = status.primary or status.follows != self.view.primary
+            if not needs_follow and status.promised == self.view.term:
                 continue
             last = self.repaired_at.get(upstream, float("-inf"))
             if self.ctx.now - last < REPAIR_INTERVAL:
@@ -416,7 +425,7 @@
             )
 
     def launch(self, kind, upstream, timeout=None, **fields):
-        """Send an upstream action through the home's book of operations."""
+        """Start an upstream action that the home tracks in its operations."""
         self.home.launch(
             kind(
                 op=self.ctx.next_op(),
@@ -427,6 +436,6 @@
             )
         )
 
-    def wake(self, delay):
-        """Ask for another check."""
+    def schedule_check(self, delay):
+        """Schedule another check after `delay` seconds."""
         self.ctx.set_timer(delay, part=PART, database=self.database)
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from gypsum_core import actions
-from gypsum_core.actions import Warm
+from gypsum_core.actions import SetPoolSize
 from gypsum_core.admission import Admission
 from gypsum_core.answers import Answers
 from gypsum_core.claim import ClaimKeeper
@@ -63,7 +63,7 @@
         self.view = GroupView(
             upstreams=spec.upstream_by_id,
             majority=spec.majority,
-            marks=ctx.tuning.marks,
+            sample_limit=ctx.tuning.marks,
         )
         self.failover = Failover(ctx=ctx, database=spec.name, view=self.view, home=self)
         self.recent = RecentWriters(limit=ctx.tuning.recent_writers)
@@ -110,7 +110,7 @@
         if self.active:
             return
         self.active = True
-        self.failover.watch_from()
+        self.failover.reset_monitoring()
         self.watch.poll()
 
     def set_rank(self, rank):
@@ -136,7 +136,7 @@
             limit = max(1, int(upstream.connections * share))
             target = min(limit, upstream.slots + WARM_SPARE)
             self.ctx.emit(
-                Warm(
+                SetPoolSize(
                     database=self.spec.name,
                     upstream=upstream.id,
                     connections=target if self.rank in (0, 1) else 0,
@@ -154,9 +154,9 @@
             lane.slots = upstream.slots
         self.view.upstreams = tuple(spec.upstream_by_id)
         self.view.majority = spec.majority
-        for upstream in list(self.view.seen):
+        for upstream in list(self.view.samples):
             if upstream not in spec.upstream_by_id:
-                self.view.forget(upstream)
+                self.view.remove_status(upstream)
         self.warm()
         self.dispatch.pump()
 
@@ -213,14 +213,14 @@
 
     def learn(self, status, sent_at):
         """Take in a status and everything that follows from it."""
-        self.failover.heard(status.upstream)
+        self.failover.record_response(status.upstream)
         if status.discarded:
             self.ctx.log(
                 FAILOVER_PART,
                 f"{self.spec.name}: {status.upstream} discarded a divergent tail, "
                 f"entries={status.discarded}",
             )
-        changed = self.view.learn(status, sent_at=sent_at)
+        changed = self.view.update_status(status, sent_at=sent_at)
         if changed:
             self.primary_changed()
         self.answers.confirm_writes()
--- a/packages/core/gypsum_core/homeboard.py
+++ b/packages/core/gypsum_core/homeboard.py
@@ -86,5 +86,5 @@
         lag_ms=round((home.ctx.now - as_of) * 1000, 1) if proved else -1.0,
         running=lane.running,
         slots=lane.slots,
-        silent=home.failover.suspicious(name),
+        silent=home.failover.is_unresponsive(name),
     )
--- a/packages/core/gypsum_core/instances.py
+++ b/packages/core/gypsum_core/instances.py
@@ -13,9 +13,9 @@
 class Instances:
     """The list at the highest revision seen."""
 
-    def __init__(self, *, ctx, office):
+    def __init__(self, *, ctx, node):
         self.ctx = ctx
-        self.office = office
+        self.node = node
         self.by_id = {}
         self.revision = -1
 
@@ -59,7 +59,7 @@
         message = InstanceChanges(
             base=base, revision=self.revision, changed=changed, removed=removed
         )
-        for peer in self.office.relay_targets():
+        for peer in self.node.relay_targets():
             if peer != source:
                 self.ctx.send(peer, message)
 
--- a/packages/core/gypsum_core/manifests.py
+++ b/packages/core/gypsum_core/manifests.py
@@ -18,10 +18,10 @@
 class Manifests:
     """The highest version of each manifest that this daemon has seen."""
 
-    def __init__(self, *, ctx, peers, office):
+    def __init__(self, *, ctx, peers, node):
         self.ctx = ctx
         self.peers = peers
-        self.office = office
+        self.node = node
         self.in_force = {}
         self.digest = 0
         self.lines = {}
@@ -81,12 +81,12 @@
 
     def line(self):
         """The daemons of our failure domain in relay order."""
-        return self.lines.get(self.office.domain, [])
+        return self.lines.get(self.node.domain, [])
 
     def list_changed(self):
         """The instance list changed: order each failure domain's daemons anew."""
         lines = {}
-        for daemon in self.office.daemons():
+        for daemon in self.node.daemons():
             lines.setdefault(daemon.domain, []).append(daemon.id)
         for domain, line in lines.items():
             line.sort(key=lambda name, domain=domain: hash_of("@relay", domain, name))
@@ -128,7 +128,7 @@
 
     def heads_elsewhere(self):
         """The first watchers of a few other failure domains."""
-        own = self.office.domain
+        own = self.node.domain
         others = sorted(domain for domain in self.lines if domain != own)
         return [self.lines[domain][0] for domain in others[:OTHER_DOMAINS]]
 
@@ -187,11 +187,11 @@
 
     def own_digest(self):
         """What we hold, in a few bytes."""
-        return Digest(digest=f"{self.digest:016x}", revision=self.office.list.revision)
+        return Digest(digest=f"{self.digest:016x}", revision=self.node.list.revision)
 
     def on_digest(self, peer, message):
         """A peer's digest differs: offer our versions and ask for its own."""
-        self.office.send_list(peer, message.revision)
+        self.node.send_list(peer, message.revision)
         if message.digest != f"{self.digest:016x}":
             self.ctx.send(peer, Versions(versions=self.versions(), reply=True))
 
--- a/packages/core/gypsum_core/node.py
+++ b/packages/core/gypsum_core/node.py
@@ -9,11 +9,11 @@
 from gypsum_core.entry import PART as ENTRY_PART
 from gypsum_core.entry import Entry
 from gypsum_core.events import (
-    CallerGone,
+    CallerDisconnected,
     CallerRequest,
-    DrainAsked,
-    InstancesListed,
-    ManifestsSeen,
+    DrainRequested,
+    InstancesReceived,
+    ManifestsReceived,
     PeerLost,
     PeerMessage,
     TimerFired,
@@ -69,15 +69,15 @@
         self.homes = {}
         self.peers = Peers(ctx=self.ctx)
         self.entry = Entry(ctx=self.ctx, peers=self.peers, office=self)
-        self.list = Instances(ctx=self.ctx, office=self)
-        self.manifests = Manifests(ctx=self.ctx, peers=self.peers, office=self)
-        self.drain = Drain(ctx=self.ctx, office=self)
+        self.list = Instances(ctx=self.ctx, node=self)
+        self.manifests = Manifests(ctx=self.ctx, peers=self.peers, node=self)
+        self.drain = Drain(ctx=self.ctx, node=self)
 
     def start(self, now):
         """Begin; returns the first actions."""
         self.ctx.now = now
         self.manifests.start()
-        return self.ctx.take()
+        return self.ctx.take_actions()
 
     def handle(self, event, now):
         """Take in one event and return the actions it calls for."""
@@ -93,15 +93,15 @@
         elif isinstance(event, PeerLost):
             self.peers.lost(event.peer)
             self.entry.peer_down(event.peer)
-        elif isinstance(event, CallerGone):
+        elif isinstance(event, CallerDisconnected):
             self.entry.gone(event.request)
-        elif isinstance(event, InstancesListed):
+        elif isinstance(event, InstancesReceived):
             self.on_list(event.instances, event.revision, source="platform")
-        elif isinstance(event, ManifestsSeen):
+        elif isinstance(event, ManifestsReceived):
             self.on_manifests(event)
-        elif isinstance(event, DrainAsked):
+        elif isinstance(event, DrainRequested):
             self.drain.start()
-        return self.ctx.take()
+        return self.ctx.take_actions()
 
     # Events
 
@@ -149,7 +149,7 @@
         if isinstance(message, AskPrimary):
             item.watch.asked(peer, message)
         elif isinstance(message, PrimaryHeard):
-            item.failover.peer_said(peer, message)
+            item.failover.on_peer_answer(peer, message)
             item.dispatch.pump()
         elif isinstance(message, TermNews) and item.active:
             item.watch.poll_once()
--- a/packages/core/gypsum_core/readdesk.py
+++ b/packages/core/gypsum_core/readdesk.py
@@ -64,7 +64,7 @@
         True when, at some time after the read arrived, the group's claim still
         named us and no newer primary had acknowledged anything.
         """
-        return claimed and self.view.verified_at() >= job.arrived
+        return claimed and self.view.verified_until() >= job.arrived
 
     def floor(self, job):
         """The position that the answer must show."""
@@ -118,7 +118,7 @@
             if name != self.view.primary
             and self.view.status(name) is not None
             and self.view.status(name).log_term == self.view.term
-            and self.failover.trusted(name)
+            and self.failover.accepts_work(name)
             and not self.leaving(name)
         ]
 
@@ -134,7 +134,7 @@
         wait = self.ctx.tuning.replica_wait
         if job.request.deadline - self.ctx.now < 4 * wait:
             return False
-        written_at = self.view.marks.earliest_at_least(floor.index, self.ctx.now)
+        written_at = self.view.log_samples.earliest_at_least(floor.index, self.ctx.now)
         ready = (written_at + self.view.lag(name) for name in live)
         return min(ready, default=float("inf")) <= self.ctx.now + wait
 
--- a/packages/core/gypsum_core/txdesk.py
+++ b/packages/core/gypsum_core/txdesk.py
@@ -42,7 +42,7 @@
                 retry_after=RETRY_SOON,
             )
             return
-        name = f"{self.ctx.daemon}.{self.ctx.token()}"
+        name = f"{self.ctx.daemon}.{self.ctx.random_token()}"
         job.request = replace(job.request, tx=name)
         self.home.dispatch.start(job, actions.TxBegin, Work.TX_BEGIN, primary, tx=name)
 
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -46,9 +46,9 @@
         may cost.
         """
         refresh = self.refresh_interval()
-        if self.ctx.now - self.home.view.seen_at(upstream) >= refresh:
+        if self.ctx.now - self.home.view.status_sent_at(upstream) >= refresh:
             return True
-        quiet = self.home.failover.quiet_for(upstream)
+        quiet = self.home.failover.since_last_response(upstream)
         leads = upstream == self.home.view.primary
         works = self.home.lanes[upstream].running > 0
         return (leads or works) and quiet >= self.ctx.tuning.poll_interval
@@ -76,7 +76,7 @@
             timeout=self.ctx.tuning.probe_timeout,
         )
         self.home.probing[upstream] = action.op
-        self.home.failover.asked(upstream)
+        self.home.failover.record_request(upstream)
         self.home.launch(action)
 
     def ensure_round(self):
@@ -123,7 +123,7 @@
 
     def found_silent_connections(self, upstream):
         """A fresh connection answered where the open ones did not."""
-        if not self.home.failover.suspicious(upstream):
+        if not self.home.failover.is_unresponsive(upstream):
             return
         self.ctx.log(
             PART, f"{self.home.spec.name}: connections to {upstream} are silent"
@@ -166,7 +166,7 @@
 
     def doubt(self, upstream):
         """An operation failed without a verdict: ask for a sign of life first."""
-        self.home.failover.doubt(upstream)
+        self.home.failover.mark_unverified(upstream)
         self.probe(upstream)
 
     def lost_claim(self, upstream):
--- a/packages/core/gypsum_core/writedesk.py
+++ b/packages/core/gypsum_core/writedesk.py
@@ -58,7 +58,7 @@
         done = [
             job
             for job in self.unconfirmed
-            if self.view.confirmed(job.position, by=job.served_by)
+            if self.view.is_confirmed(job.position, by=job.served_by)
         ]
         for job in done:
             took = self.ctx.now - job.started_at
--- a/packages/daemon/gypsum_daemon/callers.py
+++ b/packages/daemon/gypsum_daemon/callers.py
@@ -153,14 +153,14 @@
             raise bad_request(f"{KEY_HEADER} is longer than {MAX_KEY} characters")
         kind = fields.get("kind", "")
         return Request(
-            id=self.desk.shell.node.ctx.token(),
+            id=self.desk.shell.node.ctx.random_token(),
             verb=verb,
             database=database,
             member=member,
             deadline=time.monotonic() + self.deadline_ms(database, kind) / 1000,
             caller=self.request.headers.get(CALLER_HEADER, ""),
             session=self.session(database, member),
-            key=key or self.desk.shell.node.ctx.token(),
+            key=key or self.desk.shell.node.ctx.random_token(),
             keyed=bool(key),
             **fields,
         )
--- a/packages/daemon/gypsum_daemon/feed.py
+++ b/packages/daemon/gypsum_daemon/feed.py
@@ -5,7 +5,7 @@
 
 from tornado.httpclient import HTTPClientError
 
-from gypsum_core.events import InstancesListed
+from gypsum_core.events import InstancesReceived
 from gypsum_core.messages import ManifestEntry
 from gypsum_core.spec import Instance, InstanceRole
 from gypsum_daemon import logs
@@ -35,7 +35,7 @@
     def start(self):
         """Start watching; seeds stand in for the list until it is known."""
         if self.settings.seeds:
-            self.shell.feed(InstancesListed(instances=self.seed_instances()))
+            self.shell.feed(InstancesReceived(instances=self.seed_instances()))
         self.shell.record_status = self.record_status
         for loop in (self.follow_instances, self.follow_manifests):
             self.spawn(loop())
@@ -89,7 +89,7 @@
             logs.write(PART, f"no instance list: {exc}")
             return
         self.shell.feed(
-            InstancesListed(instances=listing.instances, revision=listing.revision)
+            InstancesReceived(instances=listing.instances, revision=listing.revision)
         )
 
     async def follow_manifests(self):
--- a/packages/daemon/gypsum_daemon/shell.py
+++ b/packages/daemon/gypsum_daemon/shell.py
@@ -10,10 +10,10 @@
 from gypsum_core import actions
 from gypsum_core.events import (
     AcceptedManifest,
-    CallerGone,
+    CallerDisconnected,
     CallerRequest,
-    DrainAsked,
-    ManifestsSeen,
+    DrainRequested,
+    ManifestsReceived,
     PeerLost,
     PeerMessage,
     TimerFired,
@@ -66,7 +66,7 @@
             actions.Reply: self.reply,
             actions.SetTimer: self.set_timer,
             actions.Log: self.log,
-            actions.Warm: self.executor.warm,
+            actions.SetPoolSize: self.executor.warm,
             actions.DropConnections: self.executor.drop_connections,
             actions.DropLink: self.drop_link,
             actions.RecordStatus: self.record,
@@ -103,7 +103,9 @@
             except UserError as exc:
                 logs.write("manifest", f"{entry.database}: left out: {exc}")
         self.feed(
-            ManifestsSeen(manifests=tuple(checked), source=source, complete=complete)
+            ManifestsReceived(
+                manifests=tuple(checked), source=source, complete=complete
+            )
         )
 
     def link_lost(self, peer):
@@ -120,11 +122,11 @@
     def caller_gone(self, request_id):
         """A caller hung up."""
         if self.waiting.pop(request_id, None) is not None:
-            self.feed(CallerGone(request=request_id))
+            self.feed(CallerDisconnected(request=request_id))
 
     def drain(self):
         """Begin the graceful shutdown."""
-        self.feed(DrainAsked())
+        self.feed(DrainRequested())
 
     # Actions out
 
--- a/packages/upstream/gypsum_upstream/executor.py
+++ b/packages/upstream/gypsum_upstream/executor.py
@@ -8,7 +8,13 @@
 import asyncmy
 
 from gypsum_core import actions
-from gypsum_core.events import Failed, Ran, Settled, StatusKnown, UpstreamEvent
+from gypsum_core.events import (
+    Failed,
+    Settled,
+    StatementCompleted,
+    StatusReceived,
+    UpstreamEvent,
+)
 from gypsum_core.records import Reason, Result
 from gypsum_upstream import dialect, ledger
 from gypsum_upstream.dialect import ErrorClass, classify, describe
@@ -227,7 +233,7 @@
             pool.shut(pooled)
             raise
         pool.release(pooled)
-        return Ran(op=action.op, database=action.database, result=result)
+        return StatementCompleted(op=action.op, database=action.database, result=result)
 
     async def run_statement(self, conn, statement):
         """Run a caller's statement; an answer past the bound is no answer."""
@@ -254,7 +260,7 @@
             await self.after_error(pool, pooled, exc, action)
             raise
         pool.release(pooled)
-        return Ran(
+        return StatementCompleted(
             op=action.op, database=action.database, result=result, position=position
         )
 
@@ -324,13 +330,15 @@
             pool.shut(pooled)
             raise
         self.transactions[action.tx] = OpenTransaction(pool=pool, pooled=pooled)
-        return Ran(op=action.op, database=action.database, result=Result())
+        return StatementCompleted(
+            op=action.op, database=action.database, result=Result()
+        )
 
     async def tx_run(self, action, progress):
         """Run one statement of a transaction."""
         conn = self.transactions[action.tx].pooled.conn
         result = await self.run_statement(conn, action.statement)
-        return Ran(op=action.op, database=action.database, result=result)
+        return StatementCompleted(op=action.op, database=action.database, result=result)
 
     async def tx_commit(self, action, progress):
         """Enter the ledger row and commit."""
@@ -346,7 +354,7 @@
             result = Result()
         del self.transactions[action.tx]
         held.pool.release(held.pooled)
-        return Ran(
+        return StatementCompleted(
             op=action.op, database=action.database, result=result, position=position
         )
 
@@ -402,4 +410,4 @@
 
 def status_known(action, status):
     """The event for an upstream's status."""
-    return StatusKnown(op=action.op, database=action.database, status=status)
+    return StatusReceived(op=action.op, database=action.database, status=status)
--- a/tests/fakes/group.py
+++ b/tests/fakes/group.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field, replace
 
 from gypsum_core import actions
-from gypsum_core.events import Failed, Ran, Settled, StatusKnown
+from gypsum_core.events import Failed, Settled, StatementCompleted, StatusReceived
 from gypsum_core.records import Result
 from tests.fakes.member import (
     ClaimLost,
@@ -199,24 +199,24 @@
         action, member, now = call.action, server.member, self.clock.now
         ids = {"op": action.op, "database": action.database}
         if isinstance(action, actions.Read):
-            return Ran(**ids, result=member.read(action.statement))
+            return StatementCompleted(**ids, result=member.read(action.statement))
         if isinstance(action, actions.Write):
             result, position = member.write(action)
-            return Ran(**ids, result=result, position=position)
+            return StatementCompleted(**ids, result=result, position=position)
         if isinstance(action, actions.Settle):
             result, position = member.settle(action.row)
             return Settled(**ids, result=result, position=position)
         if isinstance(action, actions.TxBegin):
             server.txs[action.tx] = OpenTx()
-            return Ran(**ids, result=Result())
+            return StatementCompleted(**ids, result=Result())
         if isinstance(action, actions.TxRun):
-            return Ran(**ids, result=self.run_in_tx(server, action))
+            return StatementCompleted(**ids, result=self.run_in_tx(server, action))
         if isinstance(action, actions.TxCommit):
             result, position = member.commit_tx(server.txs[action.tx], action)
             del server.txs[action.tx]
-            return Ran(**ids, result=result, position=position)
+            return StatementCompleted(**ids, result=result, position=position)
         self.execute_verb(member, action)
-        return StatusKnown(**ids, status=member.status(now))
+        return StatusReceived(**ids, status=member.status(now))
 
     def run_in_tx(self, server, action):
         """A read or write inside a transaction."""
--- a/tests/fakes/host.py
+++ b/tests/fakes/host.py
@@ -5,7 +5,7 @@
 
 from gypsum_core import actions
 from gypsum_core.events import (
-    ManifestsSeen,
+    ManifestsReceived,
     PeerLost,
     PeerMessage,
     TimerFired,
@@ -107,7 +107,9 @@
         """Manifests from a peer, as the shell hands them in."""
         manifests = tuple(self.world.manifest_of(entry) for entry in changes.entries)
         self.feed(
-            ManifestsSeen(manifests=manifests, source=peer, complete=changes.complete)
+            ManifestsReceived(
+                manifests=manifests, source=peer, complete=changes.complete
+            )
         )
 
     # Faults
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from gypsum_core.events import AcceptedManifest, InstancesListed, ManifestsSeen
+from gypsum_core.events import AcceptedManifest, InstancesReceived, ManifestsReceived
 from gypsum_core.messages import ManifestEntry
 
 CALL_LATENCY = 0.004
@@ -91,7 +91,9 @@
         self.calls += 1
         if self.down or self.world.is_cut(host.name, "platform"):
             return
-        listed = InstancesListed(instances=self.instances, revision=self.list_revision)
+        listed = InstancesReceived(
+            instances=self.instances, revision=self.list_revision
+        )
         self.clock.after(self.slow, host.feed, listed)
 
     def load(self, host, life):
@@ -119,7 +121,9 @@
         if self.down or not host.alive:
             return
         host.loaded = True
-        host.feed(ManifestsSeen(manifests=snapshot, source="platform", complete=True))
+        host.feed(
+            ManifestsReceived(manifests=snapshot, source="platform", complete=True)
+        )
 
 
 def accepted(spec):
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from gypsum_core.events import CallerGone, CallerRequest, PeerLost
+from gypsum_core.events import CallerDisconnected, CallerRequest, PeerLost
 from gypsum_core.records import Answer, Mode, Outcome, Request, Statement, Verb
 from gypsum_core.spec import (
     DEFAULT_TUNING,
@@ -226,7 +226,7 @@
         if waiting is None:
             return
         host, on_answer = waiting
-        self.hosts[host].feed(CallerGone(request=name))
+        self.hosts[host].feed(CallerDisconnected(request=name))
         on_answer(Answer(request=name, outcome=Outcome.UNKNOWN, detail="hung up"))
 
     def lose_callers(self, host):
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from gypsum_core import actions
-from gypsum_core.events import DrainAsked
+from gypsum_core.events import DrainRequested
 from tests import scenario
 from tests.fakes.world import make_spec
 
@@ -193,7 +193,7 @@
 def drain_home(run):
     """The home is asked to shut down, exits, and is started anew."""
     host = run.home()
-    host.feed(DrainAsked())
+    host.feed(DrainRequested())
 
     def restart():
         if not host.alive:
@@ -341,7 +341,7 @@
 
 def begin_drain_at(host):
     """Ask a daemon to shut down."""
-    host.feed(DrainAsked())
+    host.feed(DrainRequested())
 
 
 def apply_manifest(run):
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -26,13 +26,13 @@
 
 def acknowledge_at_once(patch):
     """A write counts as done when its primary has it."""
-    patch.setattr(GroupView, "confirmed", lambda self, position, by: True)
+    patch.setattr(GroupView, "is_confirmed", lambda self, position, by: True)
 
 
 def share_transactions(patch):
     """All callers share one transaction."""
     token = "shared"
-    patch.setattr("gypsum_core.context.Context.token", lambda self: token)
+    patch.setattr("gypsum_core.context.Context.random_token", lambda self: token)
 
 
 def mix_up_answers(patch):
@@ -111,28 +111,28 @@
 
 def believe_replicas(patch):
     """Any replica counts as current."""
-    patch.setattr(GroupView, "as_of", lambda self, upstream: self.verified_at())
+    patch.setattr(GroupView, "as_of", lambda self, upstream: self.verified_until())
 
 
 def promote_anyone(patch):
     """The shortest log is promoted."""
 
-    def best(self, *, majority, leaving):
+    def best_candidate(self, *, majority, leaving):
         return min(self.accepted.values(), key=lambda status: status.log_end)
 
-    patch.setattr(Election, "best", best)
+    patch.setattr(Election, "best_candidate", best_candidate)
 
 
 def confirm_across_terms(patch):
     """Any long enough log confirms a write, whatever its term."""
 
-    def confirmed(self, position, *, by):
+    def is_confirmed(self, position, *, by):
         holders = {
-            seen.status.upstream
-            for seen in self.all()
-            if seen.status.received >= position.index
+            sample.status.upstream
+            for sample in self.all_samples()
+            if sample.status.received >= position.index
         }
         holders.add(by)
         return len(holders) >= self.majority
 
-    patch.setattr(GroupView, "confirmed", confirmed)
+    patch.setattr(GroupView, "is_confirmed", is_confirmed)
--- a/tests/test_found_failures.py
+++ b/tests/test_found_failures.py
@@ -94,12 +94,12 @@
     Cause: the claim was believed from any status.
     """
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
-    view = GroupView(upstreams=("u1",), majority=1, marks=10)
+    view = GroupView(upstreams=("u1",), majority=1, sample_limit=10)
     recent = RecentWriters(limit=10)
     recent.wrote(("north", ""), Position(term=1, index=5))
     claim = ClaimKeeper(ctx=ctx, view=view, recent=recent)
     holder = claim.begin()
-    view.learn(claim_status(holder, 9), sent_at=1.0)
+    view.update_status(claim_status(holder, 9), sent_at=1.0)
     assert not claim.held
     claim.answered(claim_status(holder, 9))
     assert claim.held
@@ -114,12 +114,12 @@
     Cause: both attempts would claim under one name.
     """
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
-    view = GroupView(upstreams=("u1",), majority=1, marks=10)
+    view = GroupView(upstreams=("u1",), majority=1, sample_limit=10)
     claim = ClaimKeeper(ctx=ctx, view=view, recent=RecentWriters(limit=10))
     first = claim.begin()
     claim.failed()
     claim.answered(claim_status(claim.begin(), 3))
-    view.learn(claim_status(first, 7), sent_at=1.0)
+    view.update_status(claim_status(first, 7), sent_at=1.0)
     assert not claim.held
 
 
