--- a/bench/logic.py
+++ b/bench/logic.py
@@ -108,7 +108,7 @@
         """Let the owned databases learn their groups."""
         for name in self.owned:
             self.node.homes[name].activate()
-            self.node.homes[name].watch.poll_once()
+            self.node.homes[name].watch.probe_all()
         for action in self.node.ctx.take_actions():
             if isinstance(action, actions.Probe):
                 self.pending.append(action)
@@ -220,5 +220,7 @@
     """Watch calls that the fleet holds open; lists of instances come on top."""
     world = World(daemons=daemons)
     world.run(2.0)
-    watchers = [host for host in world.hosts.values() if host.node.manifests.watches()]
+    watchers = [
+        host for host in world.hosts.values() if host.node.manifests.is_watcher()
+    ]
     return len(watchers) * 60.0 / 20.0
--- a/bench/manifests.py
+++ b/bench/manifests.py
@@ -27,7 +27,7 @@
 def keep_only_first_answer(world):
     """The platform fails after it has told one watcher of the change."""
     watcher = next(
-        host for host in world.hosts.values() if host.node.manifests.watches()
+        host for host in world.hosts.values() if host.node.manifests.is_watcher()
     )
     world.clock.after(0.0, lambda: set_down(world, watcher, world.platform.snapshot()))
 
--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -46,11 +46,11 @@
 
     def on_status(self, operation, status):
         """A status came back: from a probe or a group verb."""
-        self.home.watch.answer_asker(operation, heard=True)
+        self.home.watch.answer_peer(operation, heard=True)
         if operation.work is Work.CLAIM:
             self.home.claim.answered(status)
         if operation.work is Work.PROBE and operation.fresh:
-            self.home.watch.found_silent_connections(operation.upstream)
+            self.home.watch.drop_silent_connections(operation.upstream)
         self.home.learn(status, operation.sent_at)
         if operation.work is Work.FENCE:
             self.home.failover.on_fenced(status, operation.term)
@@ -149,10 +149,10 @@
 
     def on_failed(self, operation, event):
         """An operation failed: decide whether to answer, retry or suspect."""
-        self.home.watch.answer_asker(operation, heard=False)
+        self.home.watch.answer_peer(operation, heard=False)
         if operation.work is Work.CLAIM:
             self.home.claim.failed()
-            self.home.watch.doubt(operation.upstream)
+            self.home.watch.verify(operation.upstream)
         if operation.work in (Work.FENCE, Work.PROMOTE):
             self.home.failover.on_order_failed(operation.upstream, operation.term)
         job = operation.job
@@ -162,7 +162,7 @@
         if event.reason is not None:
             self.home.failover.record_response(operation.upstream)
         elif not event.stale and not event.claim_lost:
-            self.home.watch.doubt(operation.upstream)
+            self.home.watch.verify(operation.upstream)
         if operation.work in (Work.TX_RUN, Work.TX_COMMIT):
             self.home.txdesk.transaction_failed(operation, event)
             return
@@ -178,7 +178,7 @@
                 )
             )
         if event.stale or event.claim_lost:
-            self.home.watch.lost_claim(operation.upstream)
+            self.home.watch.on_claim_lost(operation.upstream)
         if not event.sent:
             job.maybe_run = operation.maybe_run_before
         self.try_again(operation, event.detail)
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -27,7 +27,7 @@
         self.pump_replicas()
         self.pump_primary()
         if self.home.awaiting or self.home.writes.unconfirmed:
-            self.home.watch.ensure_round()
+            self.home.watch.request_round()
 
     def redirect_if_vetoed(self):
         """Pass work on to the daemon that hears the primary we do not."""
--- a/packages/core/gypsum_core/entry.py
+++ b/packages/core/gypsum_core/entry.py
@@ -228,10 +228,10 @@
         targets = {flight.target for flight in self.flights.values()}
         targets.discard(self.ctx.daemon)
         for target in targets:
-            if not self.peers.check(target):
+            if not self.peers.check_alive(target):
                 self.ctx.log(PART, f"{target} is silent, its requests move on")
                 self.ctx.emit(DropLink(peer=target))
-                self.peers.lost(target)
+                self.peers.on_link_lost(target)
                 self.peer_down(target)
         if targets:
             self.watch()
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -24,7 +24,7 @@
 from gypsum_core.timers import CATCH_UP, DEADLINE, POLL, ROUND
 from gypsum_core.transactions import Transactions
 from gypsum_core.txdesk import TransactionDesk
-from gypsum_core.watch import Watch
+from gypsum_core.watch import GroupMonitor
 from gypsum_core.writedesk import WriteDesk
 
 WARM_SPARE = 2
@@ -100,7 +100,7 @@
         self.refusals = {}
         self.admission = Admission(home=self)
         self.dispatch = Dispatcher(home=self)
-        self.watch = Watch(home=self)
+        self.watch = GroupMonitor(home=self)
         self.txdesk = TransactionDesk(home=self)
         self.placing = Placing(home=self)
         self.answers = Answers(home=self)
@@ -252,7 +252,7 @@
         elif timer.detail == ROUND:
             self.round_set = False
             if self.awaiting or self.writes.unconfirmed:
-                self.watch.ensure_round()
+                self.watch.request_round()
         elif timer.detail == POLL:
             self.watch.poll()
 
--- a/packages/core/gypsum_core/instances.py
+++ b/packages/core/gypsum_core/instances.py
@@ -1,8 +1,9 @@
-"""The instance list, passed on among daemons as changes.
+"""The instance list, relayed between daemons as changes.
 
-Only the few daemons that watch the platform read its list; the others learn of
-changes along the manifests' tree. The list lags and may be wrong: it decides who
-serves whom and which upstreams get new work, never whether a promise holds.
+Only the few daemons that watch the platform read its list; the others receive
+changes through the relay tree of the manifests. The list lags and may be wrong: it
+decides which daemons serve a database and which upstreams get new work, but no
+guarantee depends on it.
 """
 
 from gypsum_core.messages import AskInstances, InstanceChanges, WholeList
@@ -10,7 +11,7 @@
 PART = "instances"
 
 
-class Instances:
+class InstanceList:
     """The list at the highest revision seen."""
 
     def __init__(self, *, ctx, node):
@@ -19,15 +20,15 @@
         self.by_id = {}
         self.revision = -1
 
-    def all(self):
+    def all_instances(self):
         """All instances on the list."""
         return tuple(self.by_id.values())
 
-    def listed(self, *, instances, revision, source):
-        """Take in a whole list; returns whether it changed anything.
+    def apply_list(self, *, instances, revision, source):
+        """Apply a whole list; return whether it changed anything.
 
         A list of an older revision is dropped: two watchers whose lists lag
-        differently would otherwise tell each other the old state for ever.
+        differently would otherwise exchange the old state forever.
         """
         if revision < self.revision:
             return False
@@ -38,11 +39,13 @@
         if not changed and not removed:
             return False
         self.by_id = new
-        self.pass_on(base, changed, removed, source)
+        self.relay(base, changed, removed, source)
         return True
 
-    def changes(self, peer, message):
-        """Take in changes from a peer; returns whether they changed anything."""
+    def apply_changes(self, peer, message):
+        """Apply changes from a peer; return whether they changed anything.
+
+        Requests the whole list if changes in between were missed."""
         if message.revision <= self.revision:
             return False
         if message.base != self.revision:
@@ -51,11 +54,13 @@
         by_id = {**self.by_id, **{item.id: item for item in message.changed}}
         for name in message.removed:
             by_id.pop(name, None)
-        whole = tuple(by_id.values())
-        return self.listed(instances=whole, revision=message.revision, source=peer)
+        instances = tuple(by_id.values())
+        return self.apply_list(
+            instances=instances, revision=message.revision, source=peer
+        )
 
-    def pass_on(self, base, changed, removed, source):
-        """Send what changed down the tree and across."""
+    def relay(self, base, changed, removed, source):
+        """Send the changes to the relay targets, except the one they came from."""
         message = InstanceChanges(
             base=base, revision=self.revision, changed=changed, removed=removed
         )
@@ -63,6 +68,8 @@
             if peer != source:
                 self.ctx.send(peer, message)
 
-    def asked(self, peer):
-        """Send the whole list to a peer that missed something."""
-        self.ctx.send(peer, WholeList(revision=self.revision, instances=self.all()))
+    def send_list(self, peer):
+        """Send the whole list to a peer that missed changes."""
+        self.ctx.send(
+            peer, WholeList(revision=self.revision, instances=self.all_instances())
+        )
--- a/packages/core/gypsum_core/messages.py
+++ b/packages/core/gypsum_core/messages.py
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Forward(Message):
-    """A request handed to the database's home.
+    """A request forwarded to the database's home.
 
-    `deadline` inside the request is relative on the wire: seconds left.
+    `deadline` inside the request is relative on the wire: the seconds that remain.
     """
 
     request: Request
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Ping(Message):
-    """Are you alive? `nonce` comes back in the `Pong`."""
+    """Liveness check; `nonce` is returned in the `Pong`."""
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Pong(Message):
-    """The answer to a `Ping`; `leaving` asks for no new work."""
+    """The answer to a `Ping`; `leaving`: send no new work."""
 
     nonce: int
     leaving: bool = False
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AskPrimary(Message):
-    """Do you hear this upstream? Asked before it is deposed."""
+    """Asks whether an upstream responds to the peer, before it is replaced."""
 
     database: str
     upstream: str
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TermNews(Message):
-    """A promotion took place: who leads the group at which term."""
+    """A promotion took place: the new primary and its term."""
 
     database: str
     term: int
@@ -95,9 +95,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Changes(Message):
-    """Manifests that the sender holds in force.
+    """Manifests that are in force at the sender.
 
-    `complete` says that nothing newer is missing from what the sender has.
+    `complete` says that the sender has sent all that it has and the peer lacks.
     """
 
     entries: tuple[ManifestEntry, ...]
@@ -131,7 +131,7 @@
 class Digest(Message):
     """A hash over the versions in force, and the revision of the instance list.
 
-    A peer that differs sends its versions; one that has a newer list sends that.
+    A peer whose digest differs sends its versions; one with a newer list sends it.
     """
 
     digest: str
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Versions(Message):
-    """The versions that the sender holds; `reply` asks for the other's too."""
+    """The versions that the sender holds; `reply` requests the receiver's too."""
 
     versions: tuple[DatabaseVersion, ...]
     reply: bool = False
--- a/packages/core/gypsum_core/node.py
+++ b/packages/core/gypsum_core/node.py
@@ -21,7 +21,7 @@
 )
 from gypsum_core.failover import PART as FAILOVER_PART
 from gypsum_core.home import Home
-from gypsum_core.instances import Instances
+from gypsum_core.instances import InstanceList
 from gypsum_core.manifests import PART as MANIFEST_PART
 from gypsum_core.manifests import Manifests
 from gypsum_core.messages import (
@@ -52,8 +52,8 @@
 class Node:
     """The decision logic of one daemon.
 
-    `handle` is the only way in. The shell feeds it events with the time of a
-    monotonic clock and carries out the actions it returns, in order.
+    `handle` is the only entry point. The shell passes it events with the time of a
+    monotonic clock and carries out the returned actions in order.
     """
 
     def __init__(self, *, daemon, domain, incarnation, rng, tuning=DEFAULT_TUNING):
@@ -62,25 +62,25 @@
         )
         self.domain = domain
         self.daemon_by_id = {}
-        self.staying = ()
+        self.active_daemons = ()
         self.leaving_upstreams = frozenset()
         self.placement = Placement()
         self.orders = {}
         self.homes = {}
         self.peers = Peers(ctx=self.ctx)
         self.entry = Entry(ctx=self.ctx, peers=self.peers, office=self)
-        self.list = Instances(ctx=self.ctx, node=self)
+        self.instance_list = InstanceList(ctx=self.ctx, node=self)
         self.manifests = Manifests(ctx=self.ctx, peers=self.peers, node=self)
         self.drain = Drain(ctx=self.ctx, node=self)
 
     def start(self, now):
-        """Begin; returns the first actions."""
+        """Start; return the first actions."""
         self.ctx.now = now
         self.manifests.start()
         return self.ctx.take_actions()
 
     def handle(self, event, now):
-        """Take in one event and return the actions it calls for."""
+        """Process one event and return the resulting actions."""
         self.ctx.now = max(now, self.ctx.now)
         if isinstance(event, UpstreamEvent):
             self.on_upstream(event)
@@ -91,12 +91,12 @@
         elif isinstance(event, TimerFired):
             self.on_timer(event.timer)
         elif isinstance(event, PeerLost):
-            self.peers.lost(event.peer)
+            self.peers.on_link_lost(event.peer)
             self.entry.peer_down(event.peer)
         elif isinstance(event, CallerDisconnected):
             self.entry.gone(event.request)
         elif isinstance(event, InstancesReceived):
-            self.on_list(event.instances, event.revision, source="platform")
+            self.on_instance_list(event.instances, event.revision, source="platform")
         elif isinstance(event, ManifestsReceived):
             self.on_manifests(event)
         elif isinstance(event, DrainRequested):
@@ -106,14 +106,14 @@
     # Events
 
     def on_upstream(self, event):
-        """Give an upstream's answer to the home that asked."""
+        """Pass an upstream's answer to the home that requested it."""
         item = self.homes.get(event.database)
         if item is not None:
             item.answers.on_upstream(event)
 
     def on_message(self, peer, message):
-        """Take in a message from another daemon."""
-        self.peers.heard(peer)
+        """Process a message from another daemon."""
+        self.peers.record_message(peer)
         if isinstance(message, Forward):
             self.on_forward(peer, message.request)
         elif isinstance(message, Answered):
@@ -121,9 +121,9 @@
         elif isinstance(message, Ping):
             self.ctx.send(peer, Pong(nonce=message.nonce, leaving=self.ctx.draining))
         elif isinstance(message, Pong):
-            self.peers.left(peer, message.leaving)
+            self.peers.set_leaving(peer, message.leaving)
         elif isinstance(message, Leaving):
-            self.peers.left(peer)
+            self.peers.set_leaving(peer)
             self.rank_homes()
         elif isinstance(message, Redirect):
             self.entry.redirected(message.request, message.to)
@@ -132,45 +132,45 @@
         elif isinstance(message, Versions):
             self.manifests.on_versions(peer, message)
         elif isinstance(message, InstanceChanges):
-            if self.list.changes(peer, message):
-                self.list_changed()
+            if self.instance_list.apply_changes(peer, message):
+                self.on_instances_changed()
         elif isinstance(message, AskInstances):
-            self.list.asked(peer)
+            self.instance_list.send_list(peer)
         elif isinstance(message, WholeList):
-            self.on_list(message.instances, message.revision, source=peer)
+            self.on_instance_list(message.instances, message.revision, source=peer)
         else:
             self.on_group_message(peer, message)
 
     def on_group_message(self, peer, message):
-        """Take in what a peer says or asks about a group."""
+        """Process a message about a group."""
         item = self.home(message.database)
         if item is None:
             return
         if isinstance(message, AskPrimary):
-            item.watch.asked(peer, message)
+            item.watch.on_peer_query(peer, message)
         elif isinstance(message, PrimaryHeard):
             item.failover.on_peer_answer(peer, message)
             item.dispatch.pump()
         elif isinstance(message, TermNews) and item.active:
-            item.watch.poll_once()
+            item.watch.probe_all()
 
     def on_forward(self, peer, request):
-        """Another daemon takes us for the home of a database."""
+        """Another daemon forwards a request to us as the home of a database."""
         deadline = self.ctx.now + request.deadline
         request = replace(request, deadline=deadline)
-        known = request.id in self.home_jobs(request)
+        known = request.id in self.jobs_of(request)
         if self.ctx.draining and not known and not request.tx:
             self.redirect(peer, request.id, self.next_home(request.database))
             return
         self.serve(request, peer)
 
-    def home_jobs(self, request):
-        """The jobs of a request's home, if we have one."""
+    def jobs_of(self, request):
+        """The jobs of the request's home on this daemon, empty if there is none."""
         item = self.homes.get(request.database)
         return item.jobs if item else {}
 
     def on_timer(self, timer):
-        """Give a timer to the part that set it."""
+        """Pass a timer to the component that set it."""
         if timer.part == ENTRY_PART:
             self.entry.on_timer(timer)
         elif timer.part == MANIFEST_PART:
@@ -180,14 +180,16 @@
         elif timer.part in HOME_PARTS and timer.database in self.homes:
             self.homes[timer.database].on_timer(timer)
 
-    def on_list(self, instances, revision, *, source):
-        """Take in a whole instance list."""
-        if self.list.listed(instances=instances, revision=revision, source=source):
-            self.list_changed()
+    def on_instance_list(self, instances, revision, *, source):
+        """Apply a whole instance list."""
+        if self.instance_list.apply_list(
+            instances=instances, revision=revision, source=source
+        ):
+            self.on_instances_changed()
 
-    def list_changed(self):
-        """Take our new place; the list lags, so it is only advice."""
-        instances = self.list.all()
+    def on_instances_changed(self):
+        """Update placement and ranks; the list lags, so no guarantee depends on it."""
+        instances = self.instance_list.all_instances()
         self.daemon_by_id = {
             item.id: item for item in instances if item.role is InstanceRole.DAEMON
         }
@@ -196,20 +198,20 @@
             for item in instances
             if item.role is InstanceRole.UPSTREAM and item.leaving
         )
-        self.peers.forget(self.daemon_by_id)
-        staying = tuple(item for item in self.daemon_by_id.values() if not item.leaving)
-        if staying == self.staying:
-            # Only upstreams came or went: nobody's place has changed.
+        self.peers.remove_unlisted(self.daemon_by_id)
+        active = tuple(item for item in self.daemon_by_id.values() if not item.leaving)
+        if active == self.active_daemons:
+            # Only upstreams changed: the order of daemons is the same.
             return
-        self.staying = staying
-        self.placement.update(staying or self.daemon_by_id.values())
+        self.active_daemons = active
+        self.placement.update(active or self.daemon_by_id.values())
         self.orders.clear()
-        self.manifests.list_changed()
+        self.manifests.update_relay_order()
         self.rank_homes()
 
     def on_manifests(self, event):
         """Put newer manifests in force."""
-        for spec in self.manifests.seen(event):
+        for spec in self.manifests.apply(event):
             item = self.homes.get(spec.name)
             if item is not None:
                 item.update_spec(spec)
@@ -217,10 +219,10 @@
                 self.rank_home(spec.name)
 
     def home(self, database):
-        """Our part in serving a database, made when first needed; None if unknown.
+        """The home object of a database, created on first use; None if unknown.
 
-        A daemon serves a few of all databases: keeping a home for each would cost
-        more memory than the control of a daemon may.
+        A daemon serves only a few of all databases; a home for each would exceed
+        the memory budget of a daemon's control logic.
         """
         item = self.homes.get(database)
         spec = self.spec(database)
@@ -232,7 +234,7 @@
     # Placement
 
     def order(self, database):
-        """The daemons of a database, first its home; leaving ones have no place."""
+        """The daemons of a database, its home first; leaving ones are left out."""
         order = self.orders.get(database)
         if order is None:
             order = self.placement.order(database, ORDER_LENGTH)
@@ -240,26 +242,26 @@
         return order
 
     def rank(self, database):
-        """Our place in a database's order: 0 home, 1 standby, None further down."""
+        """Our rank in a database's order: 0 home, 1 standby, None beyond that."""
         leaving = sum(peer.leaving for peer in self.peers.known.values())
-        if not self.placement.may_rank(database, self.domain, RANKS + leaving):
+        if not self.placement.may_be_ranked(database, self.domain, RANKS + leaving):
             return None
         order = self.placement.order(database, RANKS + leaving)
-        order = [name for name in order if self.is_here(name)]
+        order = [name for name in order if self.is_available(name)]
         return order.index(self.ctx.daemon) if self.ctx.daemon in order else None
 
-    def is_here(self, name):
-        """Tell whether a daemon is this one or has not said that it leaves."""
+    def is_available(self, name):
+        """Return whether a daemon is this one or has not announced that it leaves."""
         peer = self.peers.known.get(name)
         return name == self.ctx.daemon or peer is None or not peer.leaving
 
     def rank_homes(self):
-        """Take our new place in each database's order."""
+        """Update our rank for each database."""
         for name in self.manifests.in_force:
             self.rank_home(name)
 
     def rank_home(self, database):
-        """Take our place in one database's order; drop what we need no longer."""
+        """Update our rank for one database; drop its home if no longer needed."""
         rank = self.rank(database)
         if rank is not None:
             self.home(database).set_rank(rank)
@@ -278,7 +280,7 @@
                 return name
         return ""
 
-    # What the parts ask of the daemon
+    # Interface for the components
 
     def spec(self, database):
         """The manifest in force of a database, or None."""
@@ -290,29 +292,33 @@
         return self.daemon_by_id.values()
 
     def relay_targets(self):
-        """Who gets news of manifests and instances from us."""
-        return self.manifests.targets()
+        """Daemons to which this one relays manifest and instance changes."""
+        return self.manifests.relay_targets()
 
     def send_list(self, peer, revision):
         """Send the instance list to a peer whose revision is older."""
-        if revision < self.list.revision:
-            self.list.asked(peer)
+        if revision < self.instance_list.revision:
+            self.instance_list.send_list(peer)
 
-    def reads_list(self):
-        """Tell whether we read the platform's instance list ourselves.
+    def should_poll_instances(self):
+        """Return whether to read the platform's instance list directly.
 
-        A daemon that is not on its list does so until it is: nobody passes changes
-        on to it, and it would wait for its place for ever.
+        A daemon that is not on its own list does so until it is: no other daemon
+        relays changes to it, so it would never learn its rank.
         """
         listed = self.is_daemon(self.ctx.daemon)
-        return not listed or self.list.revision <= 0 or self.manifests.watches()
+        return (
+            not listed
+            or self.instance_list.revision <= 0
+            or self.manifests.is_watcher()
+        )
 
     def is_daemon(self, name):
-        """Tell whether the instance list names a daemon."""
+        """Return whether the instance list contains a daemon."""
         return name in self.daemon_by_id
 
     def serve(self, request, origin):
-        """Work on a request as the database's home."""
+        """Process a request as the database's home."""
         item = self.home(request.database)
         if item is None:
             self.redirect(origin, request.id, self.next_home(request.database))
@@ -320,14 +326,14 @@
         item.submit(request, origin)
 
     def deliver(self, origin, answer):
-        """Bring a home's answer to the daemon that the request came from."""
+        """Send a home's answer to the daemon that the request came from."""
         if origin == self.ctx.daemon:
             self.entry.answered(answer)
             return
         self.ctx.send(origin, Answered(answer=answer))
 
     def redirect(self, origin, request, to):
-        """Send a request's daemon elsewhere."""
+        """Tell the origin of a request to send it to daemon `to`."""
         if origin == self.ctx.daemon:
             self.entry.redirected(request, to)
             return
@@ -340,7 +346,7 @@
         return [name for name in others if self.peers.usable(name)][:count]
 
     def upstream_leaving(self, upstream):
-        """Tell whether the instance list marks an upstream as leaving."""
+        """Return whether the instance list marks an upstream as leaving."""
         return upstream in self.leaving_upstreams
 
     def linked_peers(self):
@@ -348,7 +354,7 @@
         return list(self.peers.known)
 
     def hand_over_queues(self):
-        """Send queued requests to the next homes; running ones stay."""
+        """Redirect queued requests to the next homes; running ones stay."""
         for name, item in self.homes.items():
             item.hand_over(self.next_home(name))
 
@@ -358,11 +364,11 @@
             item.txdesk.end_transactions()
 
     def busy(self):
-        """Tell whether anything is still to be answered."""
+        """Return whether any request is still unanswered."""
         homes_busy = any(item.busy for item in self.homes.values())
         return homes_busy or bool(self.entry.flights)
 
     @property
     def ready(self):
-        """Tell whether callers may be taken: manifests are known, no drain."""
+        """Whether callers can be served: manifests are known and no drain runs."""
         return self.manifests.ready and not self.ctx.draining
--- a/packages/core/gypsum_core/peers.py
+++ b/packages/core/gypsum_core/peers.py
@@ -1,4 +1,4 @@
-"""Which other daemons answer, learned only where there is work for them."""
+"""Liveness of other daemons, checked only where work is outstanding."""
 
 from dataclasses import dataclass
 
@@ -9,20 +9,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class Peer:
-    """What is known of one daemon."""
+    """Observed state of one daemon."""
 
     heard_at: float
     pinged_at: float | None = None
-    shunned_until: float = 0.0
+    avoided_until: float = 0.0
     leaving: bool = False
 
 
 class Peers:
     """Liveness of other daemons.
 
-    What goes wrong without it: a frozen home keeps its link open and says
-    nothing, and every request sent to it waits for its own deadline. A link with
-    work outstanding is pinged; silence moves the work elsewhere.
+    A suspended home keeps its link open without responding, and every request sent
+    to it would wait for its own deadline. So a link with outstanding work is pinged,
+    and the work is moved elsewhere if no answer arrives.
     """
 
     def __init__(self, *, ctx):
@@ -30,37 +30,37 @@
         self.known = {}
 
     def peer(self, name):
-        """The record of a daemon."""
+        """The record of a daemon, created on first use."""
         if name not in self.known:
             self.known[name] = Peer(heard_at=self.ctx.now)
         return self.known[name]
 
-    def heard(self, name):
-        """Any message arrived from a daemon."""
+    def record_message(self, name):
+        """Record that a message arrived from a daemon."""
         peer = self.peer(name)
         peer.heard_at = self.ctx.now
         peer.pinged_at = None
-        peer.shunned_until = 0.0
+        peer.avoided_until = 0.0
 
-    def lost(self, name):
-        """The link to a daemon broke: send it nothing for a while."""
+    def on_link_lost(self, name):
+        """The link to a daemon broke: avoid it for `peer_retry_after`."""
         peer = self.peer(name)
         peer.pinged_at = None
-        peer.shunned_until = self.ctx.now + self.ctx.tuning.peer_retry_after
+        peer.avoided_until = self.ctx.now + self.ctx.tuning.peer_retry_after
 
-    def left(self, name, leaving=True):
-        """A daemon said whether it drains."""
+    def set_leaving(self, name, leaving=True):
+        """Record whether a daemon drains."""
         self.peer(name).leaving = leaving
 
     def usable(self, name):
-        """Tell whether new work may go to a daemon."""
+        """Return whether new work may be sent to a daemon."""
         peer = self.known.get(name)
         if peer is None:
             return True
-        return not peer.leaving and peer.shunned_until <= self.ctx.now
+        return not peer.leaving and peer.avoided_until <= self.ctx.now
 
-    def check(self, name):
-        """Look after a daemon with work outstanding; False when it went silent."""
+    def check_alive(self, name):
+        """Ping a daemon with outstanding work if due; False if it is unresponsive."""
         peer = self.peer(name)
         tuning = self.ctx.tuning
         if peer.pinged_at is not None:
@@ -70,8 +70,8 @@
             self.ctx.send(name, Ping(nonce=self.ctx.next_op()))
         return True
 
-    def forget(self, names):
-        """Drop daemons that the instance list no longer names."""
+    def remove_unlisted(self, names):
+        """Drop daemons that are no longer on the instance list."""
         for name in list(self.known):
             if name not in names:
                 del self.known[name]
--- a/packages/core/gypsum_core/placement.py
+++ b/packages/core/gypsum_core/placement.py
@@ -1,8 +1,8 @@
-"""Which daemons serve a database, in which order.
+"""The order of the daemons that serve each database.
 
-Every daemon computes the same order from the same list. A daemon that comes or
-goes moves only the databases it served. One order costs a few look-ups, whatever
-the number of daemons: with plain rendezvous hashing over 4,000 daemons, a change of
+Every daemon computes the same order from the same list. A daemon that is added or
+removed moves only the databases it serves. One order takes a few lookups, however
+many daemons there are: with plain rendezvous hashing over 4,000 daemons, a change of
 the list would cost every daemon tens of seconds for 8,700 databases.
 """
 
@@ -17,15 +17,15 @@
 HASH_RANGE = float(1 << 64)
 
 
-def hash_of(*words):
+def stable_hash(*words):
     """A stable 64-bit hash of some words."""
     return xxh3_64_intdigest("\x00".join(words).encode())
 
 
 @lru_cache(maxsize=20_000)
-def points_of(daemon):
+def ring_points(daemon):
     """A daemon's points on the ring of its failure domain."""
-    return tuple(hash_of(daemon, str(number)) for number in range(POINTS))
+    return tuple(stable_hash(daemon, str(number)) for number in range(POINTS))
 
 
 class Ring:
@@ -34,32 +34,32 @@
     def __init__(self, *, members):
         self.members = frozenset(members)
         pairs = sorted(
-            (point, daemon) for daemon in self.members for point in points_of(daemon)
+            (point, daemon) for daemon in self.members for point in ring_points(daemon)
         )
         self.points = [point for point, _ in pairs]
         self.owners = [daemon for _, daemon in pairs]
 
     def successors(self, position, count):
         """The first `count` different daemons at or after a position."""
-        found = []
+        daemons = []
         start = bisect_right(self.points, position)
         total = len(self.owners)
         wanted = min(count, len(self.members))
         for step in range(total):
             owner = self.owners[(start + step) % total]
-            if owner not in found:
-                found.append(owner)
-                if len(found) == wanted:
+            if owner not in daemons:
+                daemons.append(owner)
+                if len(daemons) == wanted:
                     break
-        return found
+        return daemons
 
 
 @dataclass(frozen=True, slots=True)
-class Draws:
-    """A database's place on the rings and its luck in each failure domain."""
+class DatabaseHashes:
+    """A database's position on the rings and its score in each failure domain."""
 
     position: int
-    lucks: tuple[float, ...]
+    scores: tuple[float, ...]
 
 
 class Placement:
@@ -69,10 +69,10 @@
         self.rings = {}
         self.domains = ()
         self.sizes = ()
-        self.draws = {}
+        self.hashes = {}
 
     def update(self, daemons):
-        """Take in a list of daemons; only domains that changed are built anew."""
+        """Apply a list of daemons; only changed domains get a new ring."""
         by_domain = {}
         for daemon in daemons:
             by_domain.setdefault(daemon.domain, []).append(daemon.id)
@@ -82,12 +82,12 @@
         }
         domains = tuple(sorted(self.rings))
         if domains != self.domains:
-            self.draws.clear()
+            self.hashes.clear()
         self.domains = domains
         self.sizes = tuple(len(self.rings[name].members) for name in domains)
 
     def ring_of(self, domain, members):
-        """A domain's ring, the old one if its daemons are the same."""
+        """A domain's ring; the existing one is reused if its daemons are the same."""
         old = self.rings.get(domain)
         if old is not None and old.members == members:
             return old
@@ -99,13 +99,18 @@
         Each round takes one daemon of every failure domain, so that the second in
         the order never shares the domain of the first while there is another.
         """
-        draws = self.draws_of(database)
-        domains = self.ranked_domains(draws)
+        hashes = self.hashes_of(database)
+        domains = self.ranked_domains(hashes)
         rounds = -(-length // max(1, len(domains)))
         wanted = domains[:length]
-        lines = [self.rings[name].successors(draws.position, rounds) for name in wanted]
+        per_domain = [
+            self.rings[name].successors(hashes.position, rounds) for name in wanted
+        ]
         order = [
-            line[rank] for rank in range(rounds) for line in lines if rank < len(line)
+            daemons[rank]
+            for rank in range(rounds)
+            for daemons in per_domain
+            if rank < len(daemons)
         ]
         return order[:length]
 
@@ -114,42 +119,42 @@
         order = self.order(database, 1)
         return order[0] if order else ""
 
-    def may_rank(self, database, domain, ranks):
-        """Tell cheaply whether a domain's daemon can be among the first `ranks`.
+    def may_be_ranked(self, database, domain, ranks):
+        """Return, cheaply, whether a domain's daemon can be among the first `ranks`.
 
-        A daemon asks this of every database at every change of the list; for most
-        of them its failure domain alone rules it out.
+        Called for every database at every change of the list; for most databases
+        the failure domain alone rules a daemon out.
         """
         if domain not in self.rings:
             return False
         if len(self.domains) <= ranks:
             return True
-        lucks = self.draws_of(database).lucks
-        place = self.domains.index(domain)
-        own = lucks[place] / self.sizes[place]
+        scores = self.hashes_of(database).scores
+        pos = self.domains.index(domain)
+        own = scores[pos] / self.sizes[pos]
         before = 0
-        for luck, size in zip(lucks, self.sizes, strict=True):
-            before += luck / size < own
+        for score, size in zip(scores, self.sizes, strict=True):
+            before += score / size < own
         return before < ranks
 
-    def draws_of(self, database):
-        """What hashing gives a database; it changes only with the domains."""
-        draws = self.draws.get(database)
-        if draws is None:
-            lucks = tuple(
-                -math.log((hash_of(database, name) + 1) / (HASH_RANGE + 2))
+    def hashes_of(self, database):
+        """The hashes of a database, cached until the set of domains changes."""
+        hashes = self.hashes.get(database)
+        if hashes is None:
+            scores = tuple(
+                -math.log((stable_hash(database, name) + 1) / (HASH_RANGE + 2))
                 for name in self.domains
             )
-            draws = Draws(hash_of(database), lucks)
-            self.draws[database] = draws
-        return draws
+            hashes = DatabaseHashes(stable_hash(database), scores)
+            self.hashes[database] = hashes
+        return hashes
 
-    def ranked_domains(self, draws):
-        """Weighted rendezvous: a domain comes first as often as it has daemons."""
+    def ranked_domains(self, hashes):
+        """Domains by weighted rendezvous hashing, weighted by their daemons."""
         ranked = sorted(
-            (luck / size, name)
-            for luck, size, name in zip(
-                draws.lucks, self.sizes, self.domains, strict=True
+            (score / size, name)
+            for score, size, name in zip(
+                hashes.scores, self.sizes, self.domains, strict=True
             )
         )
         return [name for _, name in ranked]
--- a/packages/core/gypsum_core/records.py
+++ b/packages/core/gypsum_core/records.py
@@ -1,4 +1,4 @@
-"""Plain records shared by the whole decision logic."""
+"""Records shared by the decision logic."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -14,7 +14,7 @@
 
 
 class Verb(StrEnum):
-    """What a caller asks of the proxy."""
+    """Operation that a caller requests."""
 
     QUERY = "query"
     BEGIN = "begin"
@@ -60,11 +60,11 @@
     index: int
 
     def __str__(self):
-        """Term and index as people read them in logs."""
+        """Term and index, separated by a dot, for logs."""
         return f"{self.term}.{self.index}"
 
     def covers(self, other):
-        """Tell whether a log at this position holds a confirmed `other`.
+        """Return whether a log at this position contains a confirmed `other`.
 
         A confirmed index never changes its content in later terms, so a log of
         the same or a later term that is as long contains it. A longer log of an
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Status:
-    """What one upstream says of itself.
+    """Status that an upstream reports about itself.
 
     `promised` is the highest term it was fenced at, `log_term` the term of its
     last log entry, `received` and `applied` log indexes, `claim` the daemon
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """A caller's request after its border checks.
+    """A caller's validated request.
 
     `deadline` is in seconds on the clock of the daemon that holds the request;
     `session` the position its token proves, `caller` an optional name within
@@ -158,8 +158,8 @@
     """The final answer to one request.
 
     `position` is what the caller's session must see from now on, `age_ms` the
-    proven bound on the age of the data, `retry_after_s` when to come back (0:
-    coming back does not help). `current` says that the data shows everything
+    proven bound on the age of the data, `retry_after_s` when to retry (0: a retry
+    does not help). `current` says that the data shows everything
     acknowledged before the request was asked.
     """
 
--- a/packages/core/gypsum_core/spec.py
+++ b/packages/core/gypsum_core/spec.py
@@ -1,4 +1,4 @@
-"""What the manifest and the instance list say, in the form the logic uses."""
+"""Contents of the manifest and the instance list as the decision logic uses them."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -54,7 +54,7 @@
 
     @cached_property
     def key_hashes_by_member(self):
-        """SHA-256 of the keys that speak for a member, in hexadecimal."""
+        """SHA-256 hashes, in hexadecimal, of the keys that authenticate a member."""
         return dict(self.key_hashes)
 
     @cached_property
@@ -69,7 +69,7 @@
 
 
 class InstanceRole(StrEnum):
-    """What runs on an instance of the platform's list."""
+    """Role of an instance on the platform's list."""
 
     DAEMON = "daemon"
     UPSTREAM = "upstream"
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Instance:
-    """One line of the platform's lagging list of instances."""
+    """One entry of the platform's list of instances, which may lag."""
 
     id: str
     role: InstanceRole
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Tuning:
-    """Times and bounds of the decision logic, in seconds unless named."""
+    """Times and limits of the decision logic; times are in seconds."""
 
     poll_interval: float = 0.1
     idle_poll_interval: float = 0.5
--- a/packages/core/gypsum_core/timers.py
+++ b/packages/core/gypsum_core/timers.py
@@ -1,4 +1,4 @@
-"""What the timers of a home are for."""
+"""Purposes of a home's timers."""
 
 PART = "home"
 POLL = "poll"
--- a/packages/core/gypsum_core/tokens.py
+++ b/packages/core/gypsum_core/tokens.py
@@ -1,9 +1,9 @@
-"""Session tokens: what a caller's next read must show, signed.
+"""Signed session tokens: the position that a caller's next read must reflect.
 
 A token names the database, the member and the position of the caller's last
-write. Forged tokens could make a home wait for a position that never comes, and
-a foreign one could leak how busy another member is, so each is bound to its
-database and member by an HMAC. Several keys may check, the first one signs.
+write. A forged token could make a home wait for a position that is never reached, and
+that of another member could reveal how busy it is, so each token is bound to its
+database and member by an HMAC. The first key signs; any of the keys verifies.
 """
 
 import hashlib
@@ -18,11 +18,11 @@
 
 
 class TokenError(ValueError):
-    """The token was not made by us for this database and member."""
+    """The token was not signed by this service for this database and member."""
 
 
 def sign(key, database, member, body):
-    """The signature over a token's body and what it is bound to."""
+    """The signature over a token's body, its database and its member."""
     bound = f"{database}\x00{member}\x00".encode() + body
     return hmac.new(key, bound, hashlib.sha256).digest()[:SIGNATURE_BYTES]
 
@@ -36,7 +36,7 @@
 
 
 def decode_token(text, *, database, member, keys):
-    """Read a token; TokenError unless one of our keys signed it."""
+    """Decode a token; TokenError unless it was signed with one of `keys`."""
     try:
         token = urlsafe_b64decode(text + "=" * (-len(text) % 4))
     except ValueError as exc:
--- a/packages/core/gypsum_core/txdesk.py
+++ b/packages/core/gypsum_core/txdesk.py
@@ -154,7 +154,7 @@
             return
         job.maybe_run = operation.maybe_run_before
         if event.stale:
-            self.home.watch.lost_claim(operation.upstream)
+            self.home.watch.on_claim_lost(operation.upstream)
         reason = event.reason or Reason.TRANSACTION_LOST
         self.home.refuse(job, reason, event.detail, peer=operation.upstream)
 
@@ -165,7 +165,7 @@
         the list changed, and every transaction open here fails at its commit.
         """
         job.maybe_run = operation.maybe_run_before
-        self.home.watch.lost_claim(operation.upstream)
+        self.home.watch.on_claim_lost(operation.upstream)
         self.home.urgent.append(job)
 
     def abort_transaction_of(self, job):
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -1,4 +1,4 @@
-"""How a home keeps its knowledge of the group fresh."""
+"""Monitoring of a database group by its home."""
 
 from gypsum_core import actions
 from gypsum_core.actions import DropConnections, Probe
@@ -7,20 +7,20 @@
 from gypsum_core.readdesk import CATCHING_UP
 from gypsum_core.timers import PART, POLL, ROUND
 
-REFRESH_PART = 0.25
+REFRESH_FRACTION = 0.25
 ROUND_GAP = 0.002
 CATCH_UP_GAP = 0.01
 
 
-class Watch:
-    """Polls, rounds and claims of one home."""
+class GroupMonitor:
+    """Polls the group of one home, and sends probe rounds and claims."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
     def poll(self):
-        """Probe the whole group and come back after the interval."""
+        """Probe the group where due, and schedule the next poll."""
         tuning = self.ctx.tuning
         idle = self.ctx.now - self.home.used_at > tuning.home_idle_after
         if self.home.rank != 0 and idle and not self.home.busy:
@@ -37,36 +37,36 @@
         self.ctx.set_timer(pause, part=PART, database=self.home.spec.name, detail=POLL)
 
     def poll_due(self, upstream):
-        """Tell whether a poll would teach us anything.
+        """Return whether an upstream has to be probed now.
 
-        The primary, and whoever has our work, is asked when it has said nothing for
-        a poll's time, since that may be the beginning of a silence; statements'
-        answers are signs of life too. Statuses are refreshed well within the age
-        that reads accept. Asking everyone at each poll took most of what control
-        may cost.
+        The primary, and any upstream with running work, is probed after one poll
+        interval without a response, since that may be the start of an outage;
+        answers to statements count as responses too. Statuses are refreshed well
+        within the age that reads accept. Probing every upstream at each poll used
+        most of the budget for control work.
         """
         refresh = self.refresh_interval()
         if self.ctx.now - self.home.view.status_sent_at(upstream) >= refresh:
             return True
-        quiet = self.home.failover.since_last_response(upstream)
-        leads = upstream == self.home.view.primary
-        works = self.home.lanes[upstream].running > 0
-        return (leads or works) and quiet >= self.ctx.tuning.poll_interval
+        idle_time = self.home.failover.since_last_response(upstream)
+        is_primary = upstream == self.home.view.primary
+        has_work = self.home.lanes[upstream].running > 0
+        return (is_primary or has_work) and idle_time >= self.ctx.tuning.poll_interval
 
     def refresh_interval(self):
-        """Seconds after which a status is asked for again."""
+        """Seconds after which a status is refreshed."""
         ages = [kind.max_age_ms for kind in self.home.spec.kinds if kind.max_age_ms > 0]
-        wanted = min(ages, default=float("inf")) / 1000 * REFRESH_PART
+        wanted = min(ages, default=float("inf")) / 1000 * REFRESH_FRACTION
         tuning = self.ctx.tuning
         return max(tuning.poll_interval, min(tuning.idle_poll_interval, wanted))
 
-    def poll_once(self):
-        """Probe the whole group now: something changed."""
+    def probe_all(self):
+        """Probe the whole group now."""
         for upstream in self.home.view.upstreams:
             self.probe(upstream)
 
     def probe(self, upstream):
-        """Ask an upstream for its status unless a question is under way."""
+        """Request the status of an upstream unless a probe is pending."""
         if upstream in self.home.probing:
             return
         action = Probe(
@@ -79,11 +79,11 @@
         self.home.failover.record_request(upstream)
         self.home.launch(action)
 
-    def ensure_round(self):
-        """Ask all members soon, once for everything that waits.
+    def request_round(self):
+        """Probe all members soon, once for all waiting requests.
 
         One round serves every read and write waiting at the time, so the number
-        of questions does not grow with the number of requests.
+        of probes does not grow with the number of requests.
         """
         if self.home.round_set:
             return
@@ -96,10 +96,10 @@
             )
             return
         self.home.round_at = self.ctx.now
-        self.poll_once()
+        self.probe_all()
 
     def round_gap(self):
-        """Seconds between two rounds: short where callers wait for knowledge."""
+        """Seconds between two rounds; short while callers wait for a status."""
         if any(job.step != CATCHING_UP for job in self.home.awaiting):
             return ROUND_GAP
         gap = CATCH_UP_GAP if self.home.awaiting else float("inf")
@@ -108,7 +108,7 @@
         return gap
 
     def claim_group(self):
-        """Make ourselves the one daemon whose writes the group takes."""
+        """Claim the group: make this the only daemon whose writes it accepts."""
         if self.home.claim.running or self.home.view.primary is None:
             return
         self.home.launch(
@@ -121,17 +121,17 @@
             )
         )
 
-    def found_silent_connections(self, upstream):
-        """A fresh connection answered where the open ones did not."""
+    def drop_silent_connections(self, upstream):
+        """Drop the open connections: a new one answered where they did not."""
         if not self.home.failover.is_unresponsive(upstream):
             return
         self.ctx.log(
-            PART, f"{self.home.spec.name}: connections to {upstream} are silent"
+            PART, f"{self.home.spec.name}: connections to {upstream} are unresponsive"
         )
         self.ctx.emit(DropConnections(database=self.home.spec.name, upstream=upstream))
 
-    def answer_asker(self, operation, *, heard):
-        """Tell a peer that asked whether we hear the upstream."""
+    def answer_peer(self, operation, *, heard):
+        """Answer a peer that asked whether the upstream responds to us."""
         if operation.work is not Work.ASKED_PROBE:
             return
         self.ctx.send(
@@ -144,32 +144,32 @@
             ),
         )
 
-    def asked(self, peer, question):
-        """A peer asks whether we hear an upstream: look with a new connection."""
+    def on_peer_query(self, peer, query):
+        """A peer asks whether an upstream responds to us: probe a new connection."""
         action = Probe(
             op=self.ctx.next_op(),
             database=self.home.spec.name,
-            upstream=question.upstream,
+            upstream=query.upstream,
             timeout=self.ctx.tuning.probe_timeout / 2,
             fresh=True,
         )
         self.home.operations[action.op] = Operation(
             op=action.op,
             work=Work.ASKED_PROBE,
-            upstream=question.upstream,
+            upstream=query.upstream,
             sent_at=self.ctx.now,
             term=self.home.view.term,
             asker=peer,
-            nonce=question.nonce,
+            nonce=query.nonce,
         )
         self.ctx.emit(action)
 
-    def doubt(self, upstream):
-        """An operation failed without a verdict: ask for a sign of life first."""
+    def verify(self, upstream):
+        """An operation failed inconclusively: probe the upstream before new work."""
         self.home.failover.mark_unverified(upstream)
         self.probe(upstream)
 
-    def lost_claim(self, upstream):
-        """Another daemon claimed the group: look before claiming it back."""
+    def on_claim_lost(self, upstream):
+        """Another daemon claimed the group: probe before claiming it again."""
         self.home.claim.lost()
         self.probe(upstream)
--- a/packages/daemon/gypsum_daemon/feed.py
+++ b/packages/daemon/gypsum_daemon/feed.py
@@ -77,7 +77,7 @@
         fleet, and 4,000 daemons ask for more than it answers.
         """
         while True:
-            if self.shell.node.reads_list():
+            if self.shell.node.should_poll_instances():
                 await self.read_instances()
             await asyncio.sleep(self.settings.instance_poll_s)
 
@@ -110,7 +110,7 @@
             listing = await self.client.list_objects(DATABASES)
             self.take(listing, complete=True)
             self.loaded = True
-        elif self.shell.node.manifests.watches():
+        elif self.shell.node.manifests.is_watcher():
             listing = await self.client.watch(
                 DATABASES, since=self.revision, wait=WATCH_WAIT
             )
--- a/packages/daemon/gypsum_daemon/operators.py
+++ b/packages/daemon/gypsum_daemon/operators.py
@@ -89,7 +89,7 @@
                 "domain": node.domain,
                 "ready": node.ready,
                 "draining": node.ctx.draining,
-                "watches": node.manifests.watches(),
+                "watches": node.manifests.is_watcher(),
                 "versions": versions,
             }
         )
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -63,7 +63,7 @@
     def notify(self):
         """Watchers learn of a change after a call's time."""
         for host in self.world.hosts.values():
-            if host.alive and host.node.manifests.watches():
+            if host.alive and host.node.manifests.is_watcher():
                 self.calls += 1
                 self.clock.after(self.delay(), self.send_all, host, self.snapshot())
 
@@ -82,7 +82,7 @@
         """Give a host the list, again and again."""
         if host.life != life:
             return
-        if host.node.reads_list():
+        if host.node.should_poll_instances():
             self.send_list(host)
         self.clock.after(LIST_INTERVAL, self.list_instances, host, life)
 
@@ -111,7 +111,7 @@
         """A watcher reconnects and gets what changed while it was away."""
         if host.life != life:
             return
-        if not host.loaded or host.node.manifests.watches():
+        if not host.loaded or host.node.manifests.is_watcher():
             self.load(host, life)
         else:
             self.clock.after(WATCH_RETRY, self.watch, host, life)
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -101,12 +101,12 @@
 def take_any_version(patch):
     """A manifest comes into force whatever its version."""
 
-    def raise_to(self, manifest):
+    def apply_if_newer(self, manifest):
         known = self.in_force.get(manifest.spec.name)
         self.in_force[manifest.spec.name] = manifest
         return known is None
 
-    patch.setattr(Manifests, "raise_to", raise_to)
+    patch.setattr(Manifests, "apply_if_newer", apply_if_newer)
 
 
 def believe_replicas(patch):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -54,4 +54,4 @@
     domain = {item.id: item.domain for item in daemons(33, domains=11)}
     for database in DATABASES:
         for name in placement.order(database, 2):
-            assert placement.may_rank(database, domain[name], 2)
+            assert placement.may_be_ranked(database, domain[name], 2)
