--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -28,7 +28,7 @@
 from gypsum_links.links import Links
 from gypsum_upstream.sql import ask_status
 from tests.cluster import Cluster
-from tests.fakes.platform import accepted
+from tests.fakes.platform import accepted_manifest
 from tests.fakes.world import make_spec
 
 DOC = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
@@ -91,7 +91,7 @@
     body = json.dumps({"upstreams": ["x" * 120] * 3, "kinds": ["y" * 90] * 8})
     manifests = []
     for number in range(count):
-        item = accepted(make_spec(f"db{number}"))
+        item = accepted_manifest(make_spec(f"db{number}"))
         entry = ManifestEntry(database=f"db{number}", version=1, body=body + " ")
         manifests.append(type(item)(spec=item.spec, entry=entry))
     return tuple(manifests)
@@ -128,7 +128,7 @@
     list_ms = (time.process_time() - begin) / 3 * 1000
     begin = time.process_time()
     for version in range(2, 52):
-        manifests = (accepted(make_spec("db1", version)),)
+        manifests = (accepted_manifest(make_spec("db1", version)),)
         bench.step(ManifestsReceived(manifests=manifests, source="platform"))
     manifest_ms = (time.process_time() - begin) / 50 * 1000
     return list_ms, manifest_ms
--- a/bench/logic.py
+++ b/bench/logic.py
@@ -18,7 +18,7 @@
 from gypsum_core.placement import Placement
 from gypsum_core.records import Position, Request, Result, Statement, Status, Verb
 from gypsum_core.spec import Instance, InstanceRole
-from tests.fakes.platform import accepted
+from tests.fakes.platform import accepted_manifest
 from tests.fakes.world import World, get, make_spec, put
 
 READS = 4000
@@ -62,7 +62,7 @@
         self.replies = 0
         self.pending = []
         self.step(InstancesReceived(instances=instances))
-        manifests = tuple(accepted(make_spec(name)) for name in self.names)
+        manifests = tuple(accepted_manifest(make_spec(name)) for name in self.names)
         self.step(
             ManifestsReceived(manifests=manifests, source="platform", complete=True)
         )
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -4,7 +4,7 @@
 
 from gypsum_core.records import Mode, Outcome, Statement, Verb
 from tests.fakes.world import get, put
-from tests.invariants import done
+from tests.invariants import is_done
 
 THINK = 0.04
 DEADLINE = 1.5
@@ -85,7 +85,7 @@
 
     def try_write(self, key):
         """Try a write under its key."""
-        self.checker.trying(self.cell, self.value)
+        self.checker.write_attempted(self.cell, self.value)
         self.ask(
             lambda answer: self.wrote(answer, key),
             key=key,
@@ -95,10 +95,10 @@
     def wrote(self, answer, key):
         """Take a write's answer as it is; ask again where it is not known."""
         self.answers.append((self.world.clock.now, answer))
-        if done(answer):
+        if is_done(answer):
             self.acknowledged(answer)
         elif answer.outcome is Outcome.NOT_RUN:
-            self.checker.refused(self.cell, self.value)
+            self.checker.write_not_run(self.cell, self.value)
             if self.rng.random() < 0.5:
                 self.world.clock.after(THINK, self.try_write, key)
                 return
@@ -108,7 +108,7 @@
 
     def acknowledged(self, answer):
         """The write is done."""
-        self.checker.wrote(self.cell, self.value)
+        self.checker.write_acknowledged(self.cell, self.value)
         self.own[self.cell] = self.value
         self.session = answer.position
         self.next(0.0)
@@ -143,10 +143,10 @@
     def was_read(self, answer, cells, tag, kind, own, sent_at):
         """Check a read's answer."""
         self.answers.append((self.world.clock.now, answer))
-        if done(answer):
+        if is_done(answer):
             kinds = self.world.platform.specs["grid"].kind_by_name
             assert kinds[kind].mode is Mode.READ
-            self.checker.read(
+            self.checker.check_read(
                 caller=self.name,
                 asked=answer.request,
                 result=answer.result,
@@ -167,7 +167,7 @@
 
     def begun(self, answer):
         """The transaction is open, or not."""
-        if not done(answer):
+        if not is_done(answer):
             self.next()
             return
         self.put_in(answer.tx, "x")
@@ -186,9 +186,9 @@
 
     def was_put(self, answer, tx, part):
         """Go on with the pair, or end the transaction."""
-        if not done(answer):
-            self.checker.refused(f"{self.name}.x", self.tx_value)
-            self.checker.refused(f"{self.name}.y", self.tx_value)
+        if not is_done(answer):
+            self.checker.write_not_run(f"{self.name}.x", self.tx_value)
+            self.checker.write_not_run(f"{self.name}.y", self.tx_value)
             self.ask(lambda _: self.next(), verb=Verb.ROLLBACK, tx=tx)
             return
         if part == "x":
@@ -204,15 +204,15 @@
 
     def committed(self, answer):
         """Take a commit's answer as it is."""
-        if done(answer):
+        if is_done(answer):
             for part in "xy":
-                self.checker.wrote(f"{self.name}.{part}", self.tx_value)
+                self.checker.write_acknowledged(f"{self.name}.{part}", self.tx_value)
                 self.own[f"{self.name}.{part}"] = self.tx_value
             self.session = answer.position
             self.next(0.0)
         elif answer.outcome is Outcome.NOT_RUN:
             for part in "xy":
-                self.checker.refused(f"{self.name}.{part}", self.tx_value)
+                self.checker.write_not_run(f"{self.name}.{part}", self.tx_value)
             self.next()
         else:
             key = f"{self.name}-tx-{self.tx_value}"
--- a/tests/fakes/group.py
+++ b/tests/fakes/group.py
@@ -9,10 +9,10 @@
 from tests.fakes.member import (
     ClaimLost,
     FakeMember,
+    NotPrimary,
     OpenTx,
-    Refused,
     SetClaim,
-    Stale,
+    StatementRefused,
 )
 
 HEARTBEAT = 0.05
@@ -20,7 +20,7 @@
 
 @dataclass
 class Server:
-    """One member as a machine: what runs, what waits, what is wrong with it."""
+    """One member's machine: running and queued work, and injected faults."""
 
     member: FakeMember
     slots: int
@@ -54,25 +54,25 @@
         for name in names[1:]:
             self.member(name).follows = names[0]
         self.promoted = [(0.0, 1, names[0])]
-        self.clock.after(HEARTBEAT, self.beat)
+        self.clock.after(HEARTBEAT, self.send_heartbeats)
 
     def member(self, name):
         """A member's state."""
         return self.servers[name].member
 
     def leader(self):
-        """The member that leads the highest term."""
+        """The primary of the highest term, or None."""
         leaders = [item.member for item in self.servers.values() if item.member.primary]
         return max(leaders, key=lambda member: member.promised, default=None)
 
     # Shipping
 
-    def beat(self):
-        """Primaries ship what followers lack, and a sign of life."""
+    def send_heartbeats(self):
+        """Primaries send log entries and heartbeats to their followers."""
         for name, server in self.servers.items():
             if server.member.primary and not server.dead and not server.frozen:
                 self.ship(name)
-        self.clock.after(HEARTBEAT, self.beat)
+        self.clock.after(HEARTBEAT, self.send_heartbeats)
 
     def ship(self, source):
         """Send a primary's log to its followers."""
@@ -87,7 +87,7 @@
             )
 
     def arrive(self, source, name, term, entries):
-        """A shipment reaches a follower; heartbeats count at once, data later."""
+        """A shipment reaches a follower; its data is received after `ship_lag`."""
         server = self.servers[name]
         member = server.member
         if server.dead or server.frozen or self.world.is_cut(source, name):
@@ -99,7 +99,7 @@
         self.clock.after(server.ship_lag, self.receive, source, name, term, entries)
 
     def receive(self, source, name, term, entries):
-        """The data of a shipment enters the follower's log."""
+        """Append the data of a shipment to the follower's log."""
         server = self.servers[name]
         member = server.member
         if server.dead or server.frozen:
@@ -125,7 +125,7 @@
     # Actions
 
     def start(self, host, action):
-        """Carry an upstream action of a daemon over the network."""
+        """Send an upstream action of a daemon over the network."""
         call = Call(group=self, host=host, action=action)
         call.send()
 
@@ -139,22 +139,22 @@
             server.backlog.append(call)
             return
         server.arrivals.append((self.clock.now, call.action))
-        if not call.slotted:
+        if not call.needs_slot:
             self.run(server, call)
         elif server.running < server.slots:
-            self.occupy(server, call)
+            self.start_statement(server, call)
         else:
             server.queue.append(call)
 
-    def occupy(self, server, call):
-        """A statement takes a slot for its service time."""
+    def start_statement(self, server, call):
+        """A statement occupies a slot for its service time."""
         server.running += 1
         self.world.reach("running", call)
         seconds = server.service * self.world.service_factor(call)
         self.clock.after(seconds, self.complete, server, call)
 
     def complete(self, server, call):
-        """A statement's time is over."""
+        """A statement's service time has passed."""
         if server.dead:
             return
         if server.frozen:
@@ -164,22 +164,22 @@
         server.running -= 1
         self.run(server, call)
         while server.queue and server.running < server.slots:
-            self.occupy(server, server.queue.popleft())
+            self.start_statement(server, server.queue.popleft())
 
     def run(self, server, call):
-        """Execute an action on the member and answer it."""
-        if call.killed and call.writes:
+        """Execute an action on the member and send its answer."""
+        if call.session_killed and call.writes:
             # The daemon ended this session before the statement committed.
             return
         try:
             event = self.execute(server, call)
-        except Stale as exc:
+        except NotPrimary as exc:
             call.fail(sent=False, detail=str(exc), stale=True)
             return
         except ClaimLost as exc:
             call.fail(sent=False, detail=str(exc), claim_lost=True)
             return
-        except Refused as exc:
+        except StatementRefused as exc:
             call.fail(sent=False, detail="refused", reason=exc.reason)
             return
         except KeyError:
@@ -190,12 +190,12 @@
             if self.servers[call.action.upstream].dead:
                 return
             self.ship(call.action.upstream)
-            # The position comes from a question asked after the commit.
-            event = replace(event, position=server.member.end)
+            # The position is read after the commit.
+            event = replace(event, position=server.member.log_end)
         call.answer(event)
 
     def execute(self, server, call):
-        """What each action does; returns its event."""
+        """Carry out an action; return its event."""
         action, member, now = call.action, server.member, self.clock.now
         ids = {"op": action.op, "database": action.database}
         if isinstance(action, actions.Read):
@@ -215,7 +215,7 @@
             result, position = member.commit_tx(server.txs[action.tx], action)
             del server.txs[action.tx]
             return StatementCompleted(**ids, result=result, position=position)
-        self.execute_verb(member, action)
+        self.execute_group_action(member, action)
         return StatusReceived(**ids, status=member.status(now))
 
     def run_in_tx(self, server, action):
@@ -226,14 +226,14 @@
         tx.effects.append(server.member.put(action.statement))
         return Result()
 
-    def execute_verb(self, member, action):
-        """Group verbs and claims."""
+    def execute_group_action(self, member, action):
+        """Fence, promote, follow and claim actions."""
         if isinstance(action, actions.Fence):
             member.fence(action.term)
         elif isinstance(action, actions.Promote):
-            was = member.primary
+            was_primary = member.primary
             member.promote(action.term)
-            if member.primary and not was:
+            if member.primary and not was_primary:
                 self.promoted.append((self.clock.now, member.promised, member.name))
                 self.ship(member.name)
         elif isinstance(action, actions.Follow):
@@ -242,8 +242,8 @@
             member.commit([SetClaim(action.holder)])
             self.ship(member.name)
 
-    def forget_transactions(self, daemon):
-        """A daemon's connections closed: its open transactions roll back."""
+    def roll_back_transactions(self, daemon):
+        """A daemon's connections closed: roll back its open transactions."""
         for server in self.servers.values():
             for name in [item for item in server.txs if item.startswith(daemon + ".")]:
                 del server.txs[name]
@@ -251,7 +251,7 @@
     # Faults
 
     def kill(self, name):
-        """A member dies; what ran there is lost, its log stays."""
+        """A member crashes: running work is lost, its log is kept."""
         server = self.servers[name]
         server.dead = True
         server.running = 0
@@ -260,17 +260,17 @@
         server.txs.clear()
 
     def revive(self, name):
-        """A member comes back with its log, as it was before."""
+        """A crashed member restarts with its log."""
         server = self.servers[name]
         server.dead = False
         server.member.heard_at = self.clock.now
 
     def freeze(self, name):
-        """A member stops running; what arrives waits."""
+        """Suspend a member; arriving actions are held back."""
         self.servers[name].frozen = True
 
     def thaw(self, name):
-        """A frozen member goes on where it stopped."""
+        """Resume a suspended member with its held-back actions."""
         server = self.servers[name]
         server.frozen = False
         backlog, server.backlog = server.backlog, []
@@ -279,14 +279,16 @@
 
 
 def shared_length(member, entries):
-    """How many entries a member shares with a shipment; the end tells mostly."""
+    """Number of leading entries a member shares with a shipment.
+
+    Comparing the last entry is usually enough."""
     length = len(member.log)
     if length <= len(entries) and (not length or entries[length - 1] is member.log[-1]):
         return length
     return member.common_prefix([entry.term for entry in entries])
 
 
-SLOTTED = (
+SLOT_ACTIONS = (
     actions.Read,
     actions.Write,
     actions.Settle,
@@ -294,35 +296,35 @@
     actions.TxRun,
     actions.TxCommit,
 )
-WRITING = (actions.Write, actions.TxCommit, actions.Settle)
+WRITE_ACTIONS = (actions.Write, actions.TxCommit, actions.Settle)
 
 
 class Call:
-    """One upstream action on its way there and back."""
+    """One upstream action, from the request to its answer."""
 
     def __init__(self, *, group, host, action):
         self.group = group
         self.world = group.world
         self.host = host
         self.action = action
-        self.over = False
-        self.ignored = False
-        self.killed = False
-        self.slotted = isinstance(action, SLOTTED)
-        self.writes = isinstance(action, WRITING)
+        self.finished = False
+        self.abandoned = False
+        self.session_killed = False
+        self.needs_slot = isinstance(action, SLOT_ACTIONS)
+        self.writes = isinstance(action, WRITE_ACTIONS)
         fresh = getattr(action, "fresh", False)
         self.muted = not fresh and host.is_muted(action.upstream)
 
     def send(self):
-        """Travel to the member; give up after the action's timeout."""
+        """Send to the member; time out after the action's timeout."""
         self.world.reach("before_send", self)
         self.host.calls[self.action.op] = self
         self.group.clock.after(self.action.timeout, self.time_out)
-        self.travel(self.group.deliver, self)
+        self.transfer(self.group.deliver, self)
         self.world.reach("sent", self)
 
-    def travel(self, function, *args):
-        """One way over the network, unless the path is cut or silent."""
+    def transfer(self, function, *args):
+        """Call `function` after the latency, unless the path is cut or muted."""
         path = (self.host.name, self.action.upstream)
         if self.muted or self.world.is_cut(*path):
             return
@@ -330,33 +332,33 @@
         self.group.clock.after(latency, self.arrive, path, function, args)
 
     def arrive(self, path, function, args):
-        """The end of one way; a cut meanwhile loses the message."""
+        """Arrival at the other end; lost if the path was cut meanwhile."""
         if not self.world.is_cut(*path):
             function(*args)
 
     def answer(self, event):
-        """Travel back with an event."""
-        self.travel(self.finish, event)
+        """Send an event back to the daemon."""
+        self.transfer(self.finish, event)
 
     def fail(self, **fields):
-        """Travel back with a failure."""
+        """Send a failure back to the daemon."""
         fields = {"sent": False, **fields}
         ids = {"op": self.action.op, "database": self.action.database}
         self.answer(Failed(**ids, **fields))
 
     def finish(self, event):
-        """Report to the daemon, once."""
-        if self.over:
+        """Report to the daemon, at most once."""
+        if self.finished:
             return
-        self.over = True
+        self.finished = True
         self.host.calls.pop(self.action.op, None)
-        if not self.ignored:
+        if not self.abandoned:
             self.world.reach("answered", self)
             self.host.feed(event)
 
     def time_out(self):
-        """No answer in time: the connection is discarded, its session ended."""
-        if self.over:
+        """No answer in time: discard the connection and end its session."""
+        if self.finished:
             return
         self.kill_session()
         self.finish(
@@ -369,9 +371,9 @@
             )
         )
 
-    def ignore(self):
-        """The daemon gave the action up."""
-        self.ignored = True
+    def abandon(self):
+        """The daemon abandoned the action."""
+        self.abandoned = True
         self.kill_session()
 
     def kill_session(self):
@@ -379,4 +381,4 @@
         server = self.group.servers[self.action.upstream]
         cut = self.world.is_cut(self.host.name, self.action.upstream)
         if not cut and not server.dead and not server.frozen:
-            self.killed = True
+            self.session_killed = True
--- a/tests/fakes/host.py
+++ b/tests/fakes/host.py
@@ -84,7 +84,7 @@
         elif isinstance(action, actions.Abandon):
             call = self.calls.get(action.op)
             if call is not None:
-                call.ignore()
+                call.abandon()
         elif isinstance(action, actions.TxAbort):
             group = self.world.groups[action.database]
             group.servers[action.upstream].txs.pop(action.tx, None)
@@ -119,10 +119,10 @@
         self.alive = False
         self.life += 1
         for call in list(self.calls.values()):
-            call.ignore()
+            call.abandon()
         self.world.lose_callers(self.name)
         for group in self.world.groups.values():
-            group.forget_transactions(self.name)
+            group.roll_back_transactions(self.name)
         for other in self.world.hosts.values():
             if other is not self:
                 self.clock.after(0.002, other.feed, PeerLost(peer=self.name))
--- a/tests/fakes/member.py
+++ b/tests/fakes/member.py
@@ -1,4 +1,4 @@
-"""A group member in virtual time: cells instead of tables, the same ledger."""
+"""A group member in virtual time, with cells instead of tables and a ledger."""
 
 from dataclasses import dataclass, field
 
@@ -9,16 +9,16 @@
 BARRED = "barred"
 
 
-class Stale(Exception):
-    """The member is fenced."""
+class NotPrimary(Exception):
+    """The member is not primary."""
 
 
 class ClaimLost(Exception):
     """The claim names another daemon."""
 
 
-class Refused(Exception):
-    """Refused for good."""
+class StatementRefused(Exception):
+    """StatementThe statement is refused permanently."""
 
     def __init__(self, reason):
         super().__init__(reason)
@@ -68,7 +68,7 @@
     """A member whose entries hold effects on cells, ledger and claim."""
 
     def reset_state(self):
-        """Empty cells."""
+        """Clear cells, ledger and claim."""
         self.cells = {}
         self.ledger = {}
         self.claim = ""
@@ -84,11 +84,11 @@
                 self.claim = effect.holder
 
     def claim_holder(self):
-        """Who holds the claim."""
+        """The holder of the claim."""
         return self.claim
 
     def status(self, now):
-        """The member's status."""
+        """The status that the member reports."""
         return Status(
             upstream=self.name,
             primary=self.primary,
@@ -103,8 +103,8 @@
         )
 
     @property
-    def end(self):
-        """The position of the log's end."""
+    def log_end(self):
+        """The position of the last log entry."""
         return Position(term=self.log_term, index=len(self.log))
 
     # Statements
@@ -112,13 +112,13 @@
     def commit(self, effects):
         """Append effects as one transaction."""
         if not self.primary:
-            raise Stale("not primary")
+            raise NotPrimary("not primary")
         entry = Entry(term=self.promised, content=effects)
         self.apply_entry(entry)
         self.append(entry)
 
     def read(self, statement):
-        """`get CELL...` with the caller's tag as parameter: one row a cell."""
+        """`get CELL...` with the caller's tag as parameter; one row per cell."""
         cells = statement.sql.split()[1:]
         tag = statement.params[0]
         rows = tuple((cell, self.cells.get(cell, 0), tag) for cell in cells)
@@ -129,44 +129,44 @@
         value, tag = statement.params
         return Put(cell=statement.sql.split()[1], value=value, tag=tag)
 
-    def enter_ledger(self, row, holder):
-        """The ledger's effect, or the result of an earlier run."""
+    def ledger_effect(self, row, holder):
+        """The ledger row to write, or None if an earlier run wrote it."""
         if not self.primary:
-            raise Stale("not primary")
+            raise NotPrimary("not primary")
         if self.claim != holder:
             raise ClaimLost("claim lost")
         key = (row.member, row.key)
         known = self.ledger.get(key)
         if known and known.state == DONE:
             if row.fingerprint and known.fingerprint != row.fingerprint:
-                raise Refused(Reason.KEY_REUSED)
+                raise StatementRefused(Reason.KEY_REUSED)
             return None
         return SetLedger(key, LedgerState(DONE, row.fingerprint))
 
     def write(self, action):
         """A write with its ledger row; returns its result and position."""
-        mark = self.enter_ledger(action.row, action.holder)
-        if mark is None:
-            return Result(affected=1, replayed=True), self.end
-        self.commit([mark, self.put(action.statement)])
-        return Result(affected=1), self.end
+        ledger_entry = self.ledger_effect(action.row, action.holder)
+        if ledger_entry is None:
+            return Result(affected=1, replayed=True), self.log_end
+        self.commit([ledger_entry, self.put(action.statement)])
+        return Result(affected=1), self.log_end
 
     def settle(self, row):
-        """Bar a key unless it is done."""
+        """Block a key from a later write unless it is done."""
         if not self.primary:
-            raise Stale("not primary")
+            raise NotPrimary("not primary")
         key = (row.member, row.key)
         known = self.ledger.get(key)
         if known is None:
             self.commit([SetLedger(key, LedgerState(BARRED, ""))])
         if known and known.state == DONE:
-            return Result(affected=1, replayed=True), self.end
-        return None, self.end
+            return Result(affected=1, replayed=True), self.log_end
+        return None, self.log_end
 
     def commit_tx(self, tx, action):
         """Commit a transaction with its ledger row."""
-        mark = self.enter_ledger(action.row, action.holder)
-        if mark is None:
-            return Result(replayed=True), self.end
-        self.commit([mark, *tx.effects])
-        return Result(), self.end
+        ledger_entry = self.ledger_effect(action.row, action.holder)
+        if ledger_entry is None:
+            return Result(replayed=True), self.log_end
+        self.commit([ledger_entry, *tx.effects])
+        return Result(), self.log_end
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -12,14 +12,14 @@
 
 @dataclass
 class PutOutcome:
-    """What an operator learns of a put; None when the answer was lost."""
+    """Result of a put as an operator sees it; `accepted` is None if it is unknown."""
 
     accepted: bool | None
     version: int
 
 
 class FakePlatform:
-    """Serves manifests and the instance list to hosts; counts its calls."""
+    """Serves manifests and the instance list to hosts, and counts calls."""
 
     def __init__(self, *, world):
         self.world = world
@@ -29,14 +29,14 @@
         self.instances = ()
         self.list_revision = 0
         self.down = False
-        self.slow = 0.0
+        self.extra_delay = 0.0
         self.lose_answers = 0
         self.calls = 0
         self.accepted_at = {}
 
     def delay(self):
-        """One way to the platform and back."""
-        return CALL_LATENCY + self.slow
+        """Seconds for a call to the platform."""
+        return CALL_LATENCY + self.extra_delay
 
     # Operators
 
@@ -61,25 +61,25 @@
         return PutOutcome(accepted=accepted, version=max(version, spec.version))
 
     def notify(self):
-        """Watchers learn of a change after a call's time."""
+        """Send all manifests to the watchers, after the delay of a call."""
         for host in self.world.hosts.values():
             if host.alive and host.node.manifests.is_watcher():
                 self.calls += 1
                 self.clock.after(self.delay(), self.send_all, host, self.snapshot())
 
     def snapshot(self):
-        """All manifests as they stand now; a late answer carries old ones."""
-        return tuple(accepted(spec) for spec in self.specs.values())
+        """The current manifests; an answer that is delayed then carries old ones."""
+        return tuple(accepted_manifest(spec) for spec in self.specs.values())
 
     # Hosts
 
-    def follow(self, host):
-        """A host's loops: the instance list and the first listing."""
+    def connect_host(self, host):
+        """Start a host's loops for the instance list and the manifests."""
         self.clock.after(self.delay(), self.list_instances, host, host.life)
         self.clock.after(self.delay(), self.load, host, host.life)
 
     def list_instances(self, host, life):
-        """Give a host the list, again and again."""
+        """Send a host the instance list at each interval."""
         if host.life != life:
             return
         if host.node.should_poll_instances():
@@ -87,28 +87,28 @@
         self.clock.after(LIST_INTERVAL, self.list_instances, host, life)
 
     def send_list(self, host):
-        """Answer a host's question for the list."""
+        """Answer a host's request for the instance list."""
         self.calls += 1
         if self.down or self.world.is_cut(host.name, "platform"):
             return
         listed = InstancesReceived(
             instances=self.instances, revision=self.list_revision
         )
-        self.clock.after(self.slow, host.feed, listed)
+        self.clock.after(self.extra_delay, host.feed, listed)
 
     def load(self, host, life):
-        """Give a host everything once, then what it missed if it watches."""
+        """Send a host all manifests, then start its watch loop."""
         if host.life != life:
             return
         self.calls += 1
         cut = self.world.is_cut(host.name, "platform")
         if not self.down and not cut:
             snapshot = self.snapshot()
-            self.clock.after(self.slow, self.send_all, host, snapshot)
+            self.clock.after(self.extra_delay, self.send_all, host, snapshot)
         self.clock.after(WATCH_RETRY, self.watch, host, life)
 
     def watch(self, host, life):
-        """A watcher reconnects and gets what changed while it was away."""
+        """Reload a watcher, or a host without manifests, at each interval."""
         if host.life != life:
             return
         if not host.loaded or host.node.manifests.is_watcher():
@@ -117,7 +117,7 @@
             self.clock.after(WATCH_RETRY, self.watch, host, life)
 
     def send_all(self, host, snapshot):
-        """Hand manifests to a host."""
+        """Deliver manifests to a host."""
         if self.down or not host.alive:
             return
         host.loaded = True
@@ -126,7 +126,7 @@
         )
 
 
-def accepted(spec):
-    """A manifest as the border hands it on; the body is not looked at."""
+def accepted_manifest(spec):
+    """A manifest as validation would return it; the body is not used."""
     entry = ManifestEntry(database=spec.name, version=spec.version, body="")
     return AcceptedManifest(spec=spec, entry=entry)
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -15,7 +15,7 @@
 from tests.fakes.clock import Clock
 from tests.fakes.group import FakeGroup
 from tests.fakes.host import Host
-from tests.fakes.platform import FakePlatform, accepted
+from tests.fakes.platform import FakePlatform, accepted_manifest
 
 BETWEEN_DOMAINS = 0.001
 JITTER = 0.3
@@ -104,7 +104,7 @@
             )
         self.list_instances()
         for host in self.hosts.values():
-            self.platform.follow(host)
+            self.platform.connect_host(host)
 
     def add_group(self, spec, service):
         """A database group and its manifest."""
@@ -181,7 +181,7 @@
 
     def manifest_of(self, entry):
         """The manifest that an entry between daemons stands for."""
-        return accepted(self.bodies[(entry.database, entry.version)])
+        return accepted_manifest(self.bodies[(entry.database, entry.version)])
 
     # Steps
 
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -1,10 +1,11 @@
-"""The promises, each stated once, checked over any run in virtual time.
+"""The guarantees of the proxy, checked over any run in virtual time.
 
-1 read-your-writes, 2 acknowledged writes stay and come from no replaced primary,
-3 transactions carry one caller's statements, 4 whole answers to the right request,
+1 read-your-writes, 2 acknowledged writes are kept and come from no replaced primary,
+3 transactions contain one caller's statements, 4 complete answers to the right
+request,
 5 "not run" was not run, 6 at most once, 7 a leaving upstream gets no new work,
-8 a drain cuts off nothing, 9 manifests only rise and come into force; and A, no
-read is older than its kind allows.
+8 a drain aborts no request, 9 manifest versions only increase and come into force;
+and A, no read is older than its kind allows.
 """
 
 from collections import Counter
@@ -29,7 +30,7 @@
 
 @dataclass
 class Violation:
-    """A broken promise."""
+    """A violated guarantee; `promise` is its number or letter."""
 
     promise: str
     text: str
@@ -37,7 +38,7 @@
 
 @dataclass
 class Checker:
-    """Watches a world and collects violations."""
+    """Observes a world and collects violations."""
 
     world: object
     violations: list = field(default_factory=list)
@@ -48,87 +49,93 @@
     leaving_since: dict = field(default_factory=dict)
     drained: set = field(default_factory=set)
 
-    def broken(self, promise, text):
-        """Note a broken promise."""
+    def add_violation(self, promise, text):
+        """Record a violated guarantee."""
         self.violations.append(Violation(promise, text))
 
     @property
     def promises(self):
-        """Which promises were broken."""
+        """Sorted names of the violated guarantees."""
         return sorted({item.promise for item in self.violations})
 
-    # As the world runs
+    # Called by the world
 
     def after_event(self, host):
-        """Look at a daemon after each event."""
+        """Check a daemon after each event."""
         for name, manifest in host.node.manifests.in_force.items():
             version = manifest.spec.version
             key = (host.name, host.life, name)
             if version < self.versions.get(key, 0):
-                self.broken("9", f"{host.name}: {name} reverted to {version}")
+                self.add_violation("9", f"{host.name}: {name} reverted to {version}")
             self.versions[key] = version
         if host.exited and host.name not in self.drained:
             self.drained.add(host.name)
             if host.node.busy():
-                self.broken("8", f"{host.name} exited with work in flight")
+                self.add_violation("8", f"{host.name} exited with work in flight")
 
     def answered(self, host, answer, surplus):
         """An answer reached a caller."""
         self.answered_ids[answer.request] += 1
         if surplus and self.answered_ids[answer.request] > 1:
-            self.broken("4", f"{answer.request} was answered twice")
+            self.add_violation("4", f"{answer.request} was answered twice")
 
-    # As callers report
+    # Called by callers
 
-    def wrote(self, cell, value):
+    def write_acknowledged(self, cell, value):
         """A write was acknowledged to its caller."""
         self.not_run.discard((cell, value))
         self.acks.append(Ack(self.world.clock.now, cell, value))
         group = self.world.groups["grid"]
         _, term, name = group.promoted[-1]
         if not contains(group.member(name), cell, value):
-            self.broken("2", f"{cell}={value} acknowledged, not at {name} term {term}")
+            self.add_violation(
+                "2", f"{cell}={value} acknowledged, not at {name} term {term}"
+            )
 
-    def refused(self, cell, value):
+    def write_not_run(self, cell, value):
         """A write was answered as not run."""
         self.not_run.add((cell, value))
 
-    def trying(self, cell, value):
-        """A write is tried (again)."""
+    def write_attempted(self, cell, value):
+        """A write is attempted, possibly again."""
         self.not_run.discard((cell, value))
 
-    def read(self, *, caller, asked, result, cells, tag, own, max_age_ms, sent_at):
+    def check_read(
+        self, *, caller, asked, result, cells, tag, own, max_age_ms, sent_at
+    ):
         """A read was answered."""
         names = tuple(row[0] for row in result.rows)
         tags = {row[2] for row in result.rows}
         if names != tuple(cells) or tags != {tag}:
-            self.broken("4", f"{asked}: asked {cells} as {tag}, got {result.rows}")
+            self.add_violation(
+                "4", f"{asked}: asked {cells} as {tag}, got {result.rows}"
+            )
             return
         values = {row[0]: row[1] for row in result.rows}
         for cell, value in own.items():
             if cell in values and values[cell] < value:
-                self.broken(
+                self.add_violation(
                     "1", f"{caller}: wrote {cell}={value}, reads {values[cell]}"
                 )
         limit = self.world.clock.now - max_age_ms / 1000 - TRANSIT
         limit = min(limit, sent_at) if max_age_ms else sent_at
         for ack in self.acks:
             if ack.at < limit and ack.cell in values and values[ack.cell] < ack.value:
-                self.broken(
+                self.add_violation(
                     "A", f"{caller}: {ack.cell}={ack.value} acknowledged at {ack.at}"
                 )
 
-    def leaving(self, upstream):
+    def mark_leaving(self, upstream):
         """The instance list marks an upstream as leaving from now on."""
         self.leaving_since[upstream] = self.world.clock.now
 
-    # At the end
+    # Final state
 
     def finish(self):
-        """Look at what the group holds after everything has healed."""
+        """Check the state of the group after all faults have ended."""
         leader = self.world.groups["grid"].leader()
         if leader is None:
-            self.broken("2", "the group has no primary at the end")
+            self.add_violation("2", "the group has no primary at the end")
             return
         counts = Counter(
             (effect.cell, effect.value)
@@ -142,28 +149,30 @@
         self.finish_manifests()
 
     def finish_writes(self, leader, counts):
-        """Acknowledged writes are there, none twice, none that was not run."""
+        """Every acknowledged write exists once, and none that was reported not run."""
         for ack in self.acks:
             if counts[(ack.cell, ack.value)] == 0:
-                self.broken("2", f"{ack.cell}={ack.value} acknowledged and lost")
+                self.add_violation("2", f"{ack.cell}={ack.value} acknowledged and lost")
         for (cell, value), count in counts.items():
             if count > 1:
-                self.broken("6", f"{cell}={value} ran {count} times")
+                self.add_violation("6", f"{cell}={value} ran {count} times")
             if (cell, value) in self.not_run:
-                self.broken("5", f"{cell}={value} answered as not run, but ran")
+                self.add_violation("5", f"{cell}={value} answered as not run, but ran")
 
     def finish_transactions(self, leader):
-        """Each log entry carries one caller's statements, all of them."""
+        """Each log entry contains all statements of one caller's transaction."""
         for entry in leader.log:
             puts = [effect for effect in entry.content if isinstance(effect, Put)]
             if len({effect.tag for effect in puts}) > 1:
-                self.broken("3", f"one transaction carries {puts}")
+                self.add_violation("3", f"one transaction carries {puts}")
             pair = {effect.cell.partition(".")[2] for effect in puts} - {""}
             if pair and pair != {"x", "y"}:
-                self.broken("3", f"a part of a transaction was committed: {puts}")
+                self.add_violation(
+                    "3", f"a part of a transaction was committed: {puts}"
+                )
 
     def finish_leaving(self):
-        """No new work arrived at a leaving upstream after a few seconds."""
+        """No new work arrived at a leaving upstream after `LEAVING_GRACE`."""
         group = self.world.groups["grid"]
         for name, since in self.leaving_since.items():
             for at, action in group.servers[name].arrivals:
@@ -171,19 +180,23 @@
                     action, actions.Read | actions.Write | actions.TxBegin
                 )
                 if work and at > since + LEAVING_GRACE:
-                    self.broken("7", f"{name} got {type(action).__name__} at {at:.2f}")
+                    self.add_violation(
+                        "7", f"{name} got {type(action).__name__} at {at:.2f}"
+                    )
 
     def finish_manifests(self):
-        """Every daemon that runs has the accepted versions in force."""
+        """Every running daemon has the accepted versions in force."""
         for host in self.world.hosts.values():
             for name, spec in self.world.platform.specs.items():
                 held = host.node.manifests.in_force.get(name)
                 if host.alive and (held is None or held.spec.version < spec.version):
-                    self.broken("9", f"{host.name} lacks {name} version {spec.version}")
+                    self.add_violation(
+                        "9", f"{host.name} lacks {name} version {spec.version}"
+                    )
 
 
 def contains(member, cell, value):
-    """Tell whether a member's log holds a write."""
+    """Return whether a member's log contains a write."""
     return any(
         isinstance(effect, Put) and (effect.cell, effect.value) == (cell, value)
         for entry in reversed(member.log)
@@ -191,6 +204,6 @@
     )
 
 
-def done(answer):
-    """Tell whether an answer says done."""
+def is_done(answer):
+    """Return whether an answer reports success."""
     return answer.outcome is Outcome.DONE
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -20,7 +20,7 @@
 DOC = Path(__file__).resolve().parent.parent / "docs" / "fault-matrix.md"
 
 
-# Faults: each injects something into a scenario and returns how to heal it.
+# Faults: each injects a fault and returns a function that ends it.
 
 
 def kill_primary(run):
@@ -109,7 +109,7 @@
 
     def restart():
         host.boot()
-        run.world.platform.follow(host)
+        run.world.platform.connect_host(host)
 
     return restart
 
@@ -133,10 +133,10 @@
 
 def platform_slow(run):
     """The platform answers seconds late."""
-    run.world.platform.slow = 2.5
+    run.world.platform.extra_delay = 2.5
 
     def fast():
-        run.world.platform.slow = 0.0
+        run.world.platform.extra_delay = 0.0
 
     return fast
 
@@ -198,7 +198,7 @@
     def restart():
         if not host.alive:
             host.boot()
-            run.world.platform.follow(host)
+            run.world.platform.connect_host(host)
 
     return restart
 
@@ -207,7 +207,7 @@
     """The instance list marks the primary as leaving."""
     name = run.group.leader().name
     run.world.list_instances(leaving=(name,))
-    run.checker.leaving(name)
+    run.checker.mark_leaving(name)
     return lambda: None
 
 
@@ -275,13 +275,13 @@
 
 
 def replicas(run):
-    """The names of the members that do not lead."""
+    """The names of the members that are not primary."""
     leader = run.group.leader()
     return [name for name in run.group.servers if leader is None or name != leader.name]
 
 
 def clear_lag(servers):
-    """Replicas keep up again."""
+    """Remove the lag of replicas."""
     for server in servers:
         server.ship_lag = server.apply_lag = 0.0
 
@@ -316,12 +316,12 @@
 )
 
 
-# Steps: each says what leads up to it and which call reaches it.
+# Steps: the action that leads to each, and the call at which it is reached.
 
 
 @dataclass(frozen=True)
 class Step:
-    """Where in a request's or a change's life the fault strikes."""
+    """Point in processing a request or change at which the fault is injected."""
 
     name: str
     hook: str = ""
@@ -330,12 +330,12 @@
 
 
 def lose_primary(run):
-    """What leads to an election."""
+    """Kill the primary, which causes an election."""
     run.group.kill(run.group.leader().name)
 
 
 def begin_drain(run):
-    """What leads to a drain."""
+    """Drain the home."""
     begin_drain_at(run.home())
 
 
@@ -345,7 +345,7 @@
 
 
 def apply_manifest(run):
-    """What leads to a change of configuration."""
+    """Put a manifest with other limits."""
     platform = run.world.platform
     version = platform.specs["grid"].version
     platform.put(
@@ -375,7 +375,7 @@
 
 @dataclass
 class Outcome:
-    """What came of one fault at one step."""
+    """Result of one fault at one step."""
 
     reached: bool
     promises: list
@@ -384,25 +384,25 @@
 
 
 def run_cell(step, fault, *, seed=7, **options):
-    """Run one cell and tell what held."""
+    """Run one cell and return its result."""
     run = scenario.start(seed=seed, **options)
-    healing = []
+    heal_functions = []
 
-    def strike(call=None):
-        if healing or (call and not isinstance(call.action, step.kind)):
+    def inject(call=None):
+        if heal_functions or (call and not isinstance(call.action, step.kind)):
             return
         run.world.hooks.clear()
-        healing.append(fault(run))
+        heal_functions.append(fault(run))
 
     step.before(run)
     if step.hook:
-        run.world.hooks[step.hook] = strike
-        run_until_struck(run, healing)
+        run.world.hooks[step.hook] = inject
+        run_until_injected(run, heal_functions)
     else:
-        strike()
+        inject()
     acks = len(run.checker.acks)
     run.world.run(HEAL_AFTER)
-    for heal in healing:
+    for heal in heal_functions:
         heal()
     if step.before is lose_primary:
         for name, server in run.group.servers.items():
@@ -412,23 +412,23 @@
     acks = len(run.checker.acks) - acks
     run.stop()
     return Outcome(
-        reached=bool(healing),
+        reached=bool(heal_functions),
         promises=run.checker.promises,
         acks=acks,
         violations=run.checker.violations,
     )
 
 
-def run_until_struck(run, healing):
-    """Let time pass until the step is reached, within a bound."""
+def run_until_injected(run, heal_functions):
+    """Run until the fault is injected, at most `STEP_LIMIT` seconds."""
     for _ in range(int(STEP_LIMIT / 0.1)):
-        if healing:
+        if heal_functions:
             return
         run.world.run(0.1)
 
 
 def title(function):
-    """A fault's name as people read it: its docstring's sentence."""
+    """A fault's title in the document: its docstring's sentence."""
     return function.__doc__.strip().rstrip(".")
 
 
@@ -469,7 +469,7 @@
 
 
 def describe(cell):
-    """A cell's entry in the table."""
+    """A cell's text in the table."""
     if not cell.reached:
         return "-"
     return ", ".join(cell.promises) or f"ok {cell.acks}"
@@ -483,7 +483,7 @@
 
 
 def main():
-    """Run all cells and write the document; exits 1 if a promise broke."""
+    """Run all cells and write the document; returns 1 if a guarantee was violated."""
     jobs = [(step.name, fault.__name__) for fault in FAULTS for step in STEPS]
     cells = {}
     with Pool(WORKERS) as pool:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -1,7 +1,7 @@
-"""Deliberate breaks of the logic, one for each promise.
+"""Deliberate faults in the logic, at least one for each guarantee.
 
-A check that cannot fail proves nothing: tests/test_mutations.py runs each break
-and expects the checker to name the promise that it breaks.
+They verify that the checker can fail: tests/test_mutations.py runs each mutation
+and expects the checker to report the guarantee that it violates.
 """
 
 from gypsum_core.answers import Answers
@@ -16,16 +16,16 @@
 from gypsum_core.records import Outcome
 
 
-def forget_sessions(patch):
-    """Reads ignore what the caller has written."""
+def ignore_session_positions(patch):
+    """Reads ignore the position of the caller's last write."""
     patch.setattr(ReadDesk, "vouched", lambda self, job, claimed: True)
     patch.setattr(
         ReadDesk, "floor", lambda self, job: type(self.recent.floor)(term=0, index=0)
     )
 
 
-def acknowledge_at_once(patch):
-    """A write counts as done when its primary has it."""
+def acknowledge_unconfirmed_writes(patch):
+    """A write counts as confirmed as soon as its primary has it."""
     patch.setattr(GroupView, "is_confirmed", lambda self, position, by: True)
 
 
@@ -35,60 +35,60 @@
     patch.setattr("gypsum_core.context.Context.random_token", lambda self: token)
 
 
-def mix_up_answers(patch):
-    """Two answers change places."""
-    plain = Entry.reply
+def swap_answers(patch):
+    """Two answers are swapped."""
+    original = Entry.reply
     held = []
 
     def reply(self, answer):
         from dataclasses import replace
 
         if answer.result is None or not answer.result.rows:
-            plain(self, answer)
+            original(self, answer)
             return
         held.append((self, answer))
         if len(held) == 2:
             (one, first), (two, second) = held
             held.clear()
-            plain(one, replace(first, result=second.result))
-            plain(two, replace(second, result=first.result))
+            original(one, replace(first, result=second.result))
+            original(two, replace(second, result=first.result))
 
     patch.setattr(Entry, "reply", reply)
 
 
-def deny_what_may_have_run(patch):
-    """Whatever failed is answered as not run."""
-    plain = Home.finish
+def report_unknown_as_not_run(patch):
+    """An unknown outcome is answered as not run."""
+    original = Home.finish
 
     def finish(self, job, answer):
         from dataclasses import replace
 
         if answer.outcome is Outcome.UNKNOWN:
             answer = replace(answer, outcome=Outcome.NOT_RUN)
-        plain(self, job, answer)
+        original(self, job, answer)
 
     patch.setattr(Home, "finish", finish)
 
 
 def retry_under_new_keys(patch):
     """A retry takes another key."""
-    plain = Answers.run_again
+    original = Answers.run_again
 
     def run_again(self, job):
         from dataclasses import replace
 
         job.request = replace(job.request, key=job.request.key + "-again")
-        plain(self, job)
+        original(self, job)
 
     patch.setattr(Answers, "run_again", run_again)
 
 
 def ignore_leaving(patch):
-    """The instance list's leaving upstreams are used like any other."""
+    """Upstreams that are marked as leaving are used like any other."""
     patch.setattr(Node, "upstream_leaving", lambda self, upstream: False)
 
 
-def exit_at_once(patch):
+def exit_drain_immediately(patch):
     """A drain exits without waiting."""
     from gypsum_core.actions import Exit
 
@@ -98,7 +98,7 @@
     patch.setattr(Drain, "check", check)
 
 
-def take_any_version(patch):
+def accept_any_version(patch):
     """A manifest comes into force whatever its version."""
 
     def apply_if_newer(self, manifest):
@@ -109,12 +109,12 @@
     patch.setattr(Manifests, "apply_if_newer", apply_if_newer)
 
 
-def believe_replicas(patch):
-    """Any replica counts as current."""
+def treat_replicas_as_current(patch):
+    """Every replica counts as up to date."""
     patch.setattr(GroupView, "as_of", lambda self, upstream: self.verified_until())
 
 
-def promote_anyone(patch):
+def promote_shortest_log(patch):
     """The shortest log is promoted."""
 
     def best_candidate(self, *, majority, leaving):
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,4 +1,4 @@
-"""Runs one scenario: callers work, something goes wrong, everything heals."""
+"""Runs one scenario: callers work, a fault is injected, and it ends."""
 
 from dataclasses import dataclass
 
@@ -21,16 +21,16 @@
 
     @property
     def group(self):
-        """The one group."""
+        """The only group."""
         return self.world.groups["grid"]
 
     def home(self):
-        """The host that leads the database's order now."""
+        """The host that is first in the database's order."""
         host = next(item for item in self.world.hosts.values() if item.alive)
         return self.world.hosts[host.node.order("grid")[0]]
 
     def stop(self):
-        """Let the callers finish, everything settle, then check the end."""
+        """Stop the callers, wait for the system to settle, then check its state."""
         for caller in self.callers:
             caller.stopped = True
         self.world.run(SETTLE)
@@ -38,17 +38,17 @@
 
 
 def start(*, seed=1, callers=5, warm_up=WARM_UP, **options):
-    """Start a world and let it work undisturbed for a while."""
+    """Start a world and run it without faults for `warm_up` seconds."""
     world = World(seed=seed, **options)
     checker = Checker(world=world)
     world.observers.append(checker)
     for server, lag in zip(
         world.groups["grid"].servers.values(), SHIP_LAGS, strict=False
     ):
-        # Replicas never are level, so that promoting the wrong one shows.
+        # Replicas differ in lag, so that promoting the wrong one is detected.
         server.ship_lag = lag
     world.run(0.5)
-    people = [
+    clients = [
         Caller(
             world=world,
             checker=checker,
@@ -59,7 +59,7 @@
         )
         for number in range(callers)
     ]
-    for person in people:
-        person.start()
+    for client in clients:
+        client.start()
     world.run(warm_up)
-    return Scenario(world=world, checker=checker, callers=people)
+    return Scenario(world=world, checker=checker, callers=clients)
--- a/tests/test_core_imports.py
+++ b/tests/test_core_imports.py
@@ -1,4 +1,4 @@
-"""The decision logic stays free of I/O, clocks, loops and hidden randomness."""
+"""The decision logic uses no I/O, clocks, event loops or global randomness."""
 
 import ast
 from pathlib import Path
@@ -19,7 +19,7 @@
     "tornado",
     "websockets",
 }
-HANDED_IN = {"random": {"Random"}}
+ALLOWED_NAMES = {"random": {"Random"}}
 
 
 def imported_names(path):
@@ -38,6 +38,8 @@
     for path in folder.glob("*.py"):
         for module, name in imported_names(path):
             assert module not in FORBIDDEN, f"{path.name} imports {module}"
-            if module in HANDED_IN:
-                # The type only: the generator itself is handed in.
-                assert name in HANDED_IN[module], f"{path.name} uses {module}.{name}"
+            if module in ALLOWED_NAMES:
+                # Only the type; the generator itself is passed in.
+                assert name in ALLOWED_NAMES[module], (
+                    f"{path.name} uses {module}.{name}"
+                )
--- a/tests/test_found_failures.py
+++ b/tests/test_found_failures.py
@@ -10,7 +10,7 @@
 from gypsum_core.records import Outcome, Position, Status, Verb
 from tests import matrix, scenario
 from tests.fakes.world import World, get, put
-from tests.invariants import contains, done
+from tests.invariants import contains, is_done
 
 
 def ask(world, host, **fields):
@@ -155,7 +155,7 @@
         for number in range(100)
     ]
     world.run(4)
-    assert all(len(item) == 1 and done(item[0]) for item in answers)
+    assert all(len(item) == 1 and is_done(item[0]) for item in answers)
 
 
 def test_read_at_a_frozen_replica_moves_on():
@@ -218,7 +218,7 @@
     answers = ask(world, "d0", **put("c", 1, "c"))
     world.run(3)
     assert len(answers) == 1
-    assert done(answers[0])
+    assert is_done(answers[0])
     assert contains(group.leader(), "c", 1)
 
 
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""Every fault at every step keeps every promise; docs/fault-matrix.md agrees."""
+"""No fault at any step violates a guarantee; docs/fault-matrix.md lists all of them."""
 
 import pytest
 
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -1,17 +1,27 @@
-"""Each deliberate break is caught by the checker that its promise has."""
+"""The checker detects each mutation of the logic."""
 
 import pytest
 
 from tests import matrix, mutations
 
 BREAKS = [
-    ("1", mutations.forget_sessions, "all_replicas_apply_late", "in a transaction"),
-    ("2", mutations.acknowledge_at_once, "cut_primary_from_group", "read running"),
+    (
+        "1",
+        mutations.ignore_session_positions,
+        "all_replicas_apply_late",
+        "in a transaction",
+    ),
+    (
+        "2",
+        mutations.acknowledge_unconfirmed_writes,
+        "cut_primary_from_group",
+        "read running",
+    ),
     ("3", mutations.share_transactions, "platform_slow", "in a transaction"),
-    ("4", mutations.mix_up_answers, "platform_slow", "read running"),
+    ("4", mutations.swap_answers, "platform_slow", "read running"),
     (
         "5",
-        mutations.deny_what_may_have_run,
+        mutations.report_unknown_as_not_run,
         "all_replicas_behind",
         "write answered, unconfirmed",
     ),
@@ -22,16 +32,26 @@
         "write committed, unanswered",
     ),
     ("7", mutations.ignore_leaving, "upstream_leaves", "read running"),
-    ("8", mutations.exit_at_once, "drain_home", "write running"),
-    ("9", mutations.take_any_version, "late_listing", "read running"),
-    ("A", mutations.believe_replicas, "all_replicas_apply_late", "read running"),
+    ("8", mutations.exit_drain_immediately, "drain_home", "write running"),
+    ("9", mutations.accept_any_version, "late_listing", "read running"),
+    (
+        "A",
+        mutations.treat_replicas_as_current,
+        "all_replicas_apply_late",
+        "read running",
+    ),
     (
         "2",
         mutations.confirm_across_terms,
         "partition_primary_with_one_daemon",
         "commit done, unanswered",
     ),
-    ("2", mutations.promote_anyone, "primary_while_replica_behind", "read running"),
+    (
+        "2",
+        mutations.promote_shortest_log,
+        "primary_while_replica_behind",
+        "read running",
+    ),
 ]
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Orders of daemons: spread, balanced, and stable when daemons come and go."""
+"""Orders of daemons: spread over domains, balanced, and stable under changes."""
 
 from collections import Counter
 
@@ -9,22 +9,22 @@
 
 
 def daemons(count, domains=3):
-    """Daemons over failure domains."""
+    """Daemons distributed over failure domains."""
     return [
         Instance(id=f"d{n}", role=InstanceRole.DAEMON, domain=f"fd{n % domains}")
         for n in range(count)
     ]
 
 
-def placed(instances):
+def make_placement(instances):
     """A placement of some daemons."""
     placement = Placement()
     placement.update(instances)
     return placement
 
 
-def test_first_daemons_are_of_different_domains():
-    placement = placed(daemons(9))
+def test_first_daemons_are_in_different_domains():
+    placement = make_placement(daemons(9))
     domain = {item.id: item.domain for item in daemons(9)}
     for database in DATABASES:
         order = placement.order(database, 9)
@@ -33,24 +33,24 @@
 
 
 def test_a_lost_daemon_moves_only_its_own_databases():
-    before, after = placed(daemons(9)), placed(daemons(9)[:-1])
+    before, after = make_placement(daemons(9)), make_placement(daemons(9)[:-1])
     moved = [
         name
         for name in DATABASES
         if before.first(name) != after.first(name) and before.first(name) != "d8"
     ]
-    # A smaller domain comes first a little less often: that is all that may move.
+    # A smaller domain comes first slightly less often; only those may move.
     assert len(moved) < len(DATABASES) / 10
 
 
 def test_homes_are_balanced():
-    counts = Counter(placed(daemons(9)).first(name) for name in DATABASES)
+    counts = Counter(make_placement(daemons(9)).first(name) for name in DATABASES)
     assert len(counts) == 9
     assert max(counts.values()) < 2.5 * len(DATABASES) / 9
 
 
-def test_cheap_check_rules_out_nobody_who_ranks():
-    placement = placed(daemons(33, domains=11))
+def test_may_be_ranked_has_no_false_negatives():
+    placement = make_placement(daemons(33, domains=11))
     domain = {item.id: item.domain for item in daemons(33, domains=11)}
     for database in DATABASES:
         for name in placement.order(database, 2):
--- a/tests/test_stateful.py
+++ b/tests/test_stateful.py
@@ -1,4 +1,4 @@
-"""Random faults in random order keep every promise.
+"""No random sequence of faults violates a guarantee.
 
 A fixed seed in CI; `make fuzz` searches longer with new seeds.
 """
@@ -21,7 +21,7 @@
 
 
 class Faults(RuleBasedStateMachine):
-    """Faults strike and heal while callers work."""
+    """Faults start and end while callers work."""
 
     @initialize(seed=st.integers(min_value=1, max_value=1000))
     def begin(self, seed):
@@ -72,7 +72,7 @@
         host = self.world.hosts[name]
         if not host.alive:
             host.boot()
-            self.world.platform.follow(host)
+            self.world.platform.connect_host(host)
 
     @rule(name=DAEMONS)
     def freeze_daemon(self, name):
@@ -87,16 +87,16 @@
         self.world.hosts[daemon].mute(member)
 
     @rule(down=st.booleans(), slow=st.sampled_from([0.0, 0.0, 2.0]))
-    def upset_platform(self, down, slow):
+    def disturb_platform(self, down, slow):
         self.world.platform.down = down
-        self.world.platform.slow = slow
+        self.world.platform.extra_delay = slow
 
     @rule()
     def apply(self):
         matrix.apply_manifest(self.run)
 
     @rule(without=st.sets(DAEMONS, max_size=2))
-    def list_wrongly(self, without):
+    def list_incompletely(self, without):
         self.world.list_instances(without=without)
 
     @rule(name=DAEMONS)
@@ -108,29 +108,29 @@
     def teardown(self):
         if not hasattr(self, "run"):
             return
-        self.mend_everything()
+        self.heal_everything()
         self.world.run(3.0)
         self.run.stop()
         assert not self.run.checker.violations
 
-    def mend_everything(self):
-        """Everything heals."""
+    def heal_everything(self):
+        """End all faults and restart stopped daemons."""
         self.world.heal()
         self.world.list_instances()
         self.world.platform.down = False
-        self.world.platform.slow = 0.0
+        self.world.platform.extra_delay = 0.0
         for name, server in self.run.group.servers.items():
             server.ship_lag = server.apply_lag = 0.0
             self.run.group.thaw(name)
             self.run.group.revive(name)
         for host in self.world.hosts.values():
             host.thaw()
-        # A drain that was under way ends before its daemon starts anew.
+        # A running drain ends before its daemon is restarted.
         self.world.run(8.0)
         for host in self.world.hosts.values():
             if not host.alive:
                 host.boot()
-                self.world.platform.follow(host)
+                self.world.platform.connect_host(host)
 
 
 Faults.TestCase.settings = settings(
