--- a/bench/logic.py
+++ b/bench/logic.py
@@ -9,16 +9,16 @@
 from gypsum_core import actions
 from gypsum_core.events import (
     CallerRequest,
-    InstancesListed,
-    ManifestsSeen,
-    Ran,
-    StatusKnown,
+    InstancesReceived,
+    ManifestsReceived,
+    StatementCompleted,
+    StatusReceived,
 )
 from gypsum_core.node import Node
 from gypsum_core.placement import Placement
 from gypsum_core.records import Position, Request, Result, Statement, Status, Verb
 from gypsum_core.spec import Instance, InstanceRole
-from tests.fakes.platform import accepted
+from tests.fakes.platform import accepted_manifest
 from tests.fakes.world import World, get, make_spec, put
 
 READS = 4000
@@ -61,9 +61,11 @@
         )
         self.replies = 0
         self.pending = []
-        self.step(InstancesListed(instances=instances))
-        manifests = tuple(accepted(make_spec(name)) for name in self.names)
-        self.step(ManifestsSeen(manifests=manifests, source="platform", complete=True))
+        self.step(InstancesReceived(instances=instances))
+        manifests = tuple(accepted_manifest(make_spec(name)) for name in self.names)
+        self.step(
+            ManifestsReceived(manifests=manifests, source="platform", complete=True)
+        )
         self.owned = [name for name, item in self.node.homes.items() if item.rank == 0]
 
     def step(self, event):
@@ -84,8 +86,10 @@
         """The answer of a healthy group."""
         ids = {"op": action.op, "database": action.database}
         if isinstance(action, actions.Read):
-            return Ran(**ids, result=Result(columns=("a",), rows=((1,),)))
-        return StatusKnown(**ids, status=self.status(action))
+            return StatementCompleted(
+                **ids, result=Result(columns=("a",), rows=((1,),))
+            )
+        return StatusReceived(**ids, status=self.status(action))
 
     def status(self, action):
         """A level group's status."""
@@ -104,8 +108,8 @@
         """Let the owned databases learn their groups."""
         for name in self.owned:
             self.node.homes[name].activate()
-            self.node.homes[name].watch.poll_once()
-        for action in self.node.ctx.take():
+            self.node.homes[name].watch.probe_all()
+        for action in self.node.ctx.take_actions():
             if isinstance(action, actions.Probe):
                 self.pending.append(action)
         self.settle()
@@ -216,5 +220,7 @@
     """Watch calls that the fleet holds open; lists of instances come on top."""
     world = World(daemons=daemons)
     world.run(2.0)
-    watchers = [host for host in world.hosts.values() if host.node.manifests.watches()]
+    watchers = [
+        host for host in world.hosts.values() if host.node.manifests.is_watcher()
+    ]
     return len(watchers) * 60.0 / 20.0
--- a/tests/test_found_failures.py
+++ b/tests/test_found_failures.py
@@ -10,7 +10,7 @@
 from gypsum_core.records import Outcome, Position, Status, Verb
 from tests import matrix, scenario
 from tests.fakes.world import World, get, put
-from tests.invariants import contains, done
+from tests.invariants import contains, is_done
 
 
 def ask(world, host, **fields):
@@ -94,12 +94,12 @@
     Cause: the claim was believed from any status.
     """
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
-    view = GroupView(upstreams=("u1",), majority=1, marks=10)
+    view = GroupView(upstreams=("u1",), majority=1, sample_limit=10)
     recent = RecentWriters(limit=10)
     recent.wrote(("north", ""), Position(term=1, index=5))
     claim = ClaimKeeper(ctx=ctx, view=view, recent=recent)
     holder = claim.begin()
-    view.learn(claim_status(holder, 9), sent_at=1.0)
+    view.update_status(claim_status(holder, 9), sent_at=1.0)
     assert not claim.held
     claim.answered(claim_status(holder, 9))
     assert claim.held
@@ -114,12 +114,12 @@
     Cause: both attempts would claim under one name.
     """
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
-    view = GroupView(upstreams=("u1",), majority=1, marks=10)
+    view = GroupView(upstreams=("u1",), majority=1, sample_limit=10)
     claim = ClaimKeeper(ctx=ctx, view=view, recent=RecentWriters(limit=10))
     first = claim.begin()
     claim.failed()
     claim.answered(claim_status(claim.begin(), 3))
-    view.learn(claim_status(first, 7), sent_at=1.0)
+    view.update_status(claim_status(first, 7), sent_at=1.0)
     assert not claim.held
 
 
@@ -155,7 +155,7 @@
         for number in range(100)
     ]
     world.run(4)
-    assert all(len(item) == 1 and done(item[0]) for item in answers)
+    assert all(len(item) == 1 and is_done(item[0]) for item in answers)
 
 
 def test_read_at_a_frozen_replica_moves_on():
@@ -218,7 +218,7 @@
     answers = ask(world, "d0", **put("c", 1, "c"))
     world.run(3)
     assert len(answers) == 1
-    assert done(answers[0])
+    assert is_done(answers[0])
     assert contains(group.leader(), "c", 1)
 
 
