--- a/packages/core/gypsum_core/admission.py
+++ b/packages/core/gypsum_core/admission.py
@@ -61,7 +61,7 @@
         """Refuse now what could not be answered in time; tell if it may wait."""
         member = job.request.member
         wait = expected_wait(
-            ahead=queue.ahead_of(
+            ahead=queue.count_ahead(
                 member, worth=job.kind.worth, deadline=job.request.deadline
             ),
             share=queue.share(member),
@@ -107,17 +107,17 @@
         deadline for a turn that never comes, and its caller learns nothing until
         then.
         """
-        while queue.waiting(member) > slots:
+        while queue.queued(member) > slots:
             job = queue.last(member)
             wait = expected_wait(
-                ahead=queue.waiting(member) - 1,
+                ahead=queue.queued(member) - 1,
                 share=queue.share(member),
                 slots=slots,
                 service=service,
             )
             if job.maybe_run or self.ctx.now + wait <= job.request.deadline:
                 return
-            queue.drop_last(member)
+            queue.pop_last(member)
             if not job.closed:
                 self.overloaded(job, wait)
 
--- a/packages/core/gypsum_core/fairqueue.py
+++ b/packages/core/gypsum_core/fairqueue.py
@@ -7,21 +7,21 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Waiting:
+class QueuedItem:
     """One waiting item in the order in which its member wants it served."""
 
-    cost: float
+    negated_worth: float
     deadline: float
     sequence: int
     item: Any = field(compare=False)
 
 
 @dataclass(slots=True, kw_only=True)
-class Line:
+class MemberQueue:
     """One member's waiting items and its place in virtual time."""
 
     items: SortedList
-    finish: float = 0.0
+    finish_tag: float = 0.0
 
 
 class FairQueue:
@@ -35,8 +35,8 @@
 
     def __init__(self, *, weights):
         self.weights = weights
-        self.lines = {}
-        self.clock = 0.0
+        self.queues = {}
+        self.virtual_time = 0.0
         self.sequence = 0
         self.size = 0
 
@@ -45,13 +45,13 @@
 
     def push(self, item, *, member, worth, deadline):
         """Add an item; higher worth first, then the earlier deadline."""
-        line = self.lines.get(member)
-        if line is None:
-            line = self.lines[member] = Line(items=SortedList())
-        if not line.items:
-            line.finish = max(line.finish, self.clock)
+        queue = self.queues.get(member)
+        if queue is None:
+            queue = self.queues[member] = MemberQueue(items=SortedList())
+        if not queue.items:
+            queue.finish_tag = max(queue.finish_tag, self.virtual_time)
         self.sequence += 1
-        line.items.add(Waiting(-worth, deadline, self.sequence, item))
+        queue.items.add(QueuedItem(-worth, deadline, self.sequence, item))
         self.size += 1
 
     def pop(self) -> Any:
@@ -59,54 +59,58 @@
         if not self.size:
             return None
         member = self.next_member()
-        line = self.lines[member]
-        item = line.items.pop(0).item
-        self.clock = line.finish
-        line.finish += 1.0 / self.weights.get(member, 1.0)
+        queue = self.queues[member]
+        item = queue.items.pop(0).item
+        self.virtual_time = queue.finish_tag
+        queue.finish_tag += 1.0 / self.weights.get(member, 1.0)
         self.size -= 1
         return item
 
     def next_member(self):
         """The waiting member with the smallest tag."""
-        waiting = [member for member, line in self.lines.items() if line.items]
-        return min(waiting, key=lambda name: self.lines[name].finish, default=None)
+        backlogged = [member for member, queue in self.queues.items() if queue.items]
+        return min(
+            backlogged, key=lambda name: self.queues[name].finish_tag, default=None
+        )
 
     def share(self, member):
         """The part of the service that a member gets while it waits."""
-        rivals = {name for name, line in self.lines.items() if line.items}
-        rivals.add(member)
-        total = sum(self.weights.get(name, 1.0) for name in rivals)
+        competing = {name for name, queue in self.queues.items() if queue.items}
+        competing.add(member)
+        total = sum(self.weights.get(name, 1.0) for name in competing)
         return self.weights.get(member, 1.0) / total
 
-    def ahead_of(self, member, *, worth, deadline):
+    def count_ahead(self, member, *, worth, deadline):
         """How many of a member's items would be served before a new one."""
-        line = self.lines.get(member)
-        if line is None:
+        queue = self.queues.get(member)
+        if queue is None:
             return 0
-        return line.items.bisect_right(Waiting(-worth, deadline, self.sequence, None))
+        return queue.items.bisect_right(
+            QueuedItem(-worth, deadline, self.sequence, None)
+        )
 
     def last(self, member):
         """The item of a member that is served last, or None."""
-        line = self.lines.get(member)
-        return line.items[-1].item if line and line.items else None
+        queue = self.queues.get(member)
+        return queue.items[-1].item if queue and queue.items else None
 
-    def waiting(self, member):
+    def queued(self, member):
         """How many of a member's items wait."""
-        line = self.lines.get(member)
-        return len(line.items) if line else 0
+        queue = self.queues.get(member)
+        return len(queue.items) if queue else 0
 
-    def drop_last(self, member):
+    def pop_last(self, member):
         """Take out the item of a member that is served last."""
         self.size -= 1
-        return self.lines[member].items.pop().item
+        return self.queues[member].items.pop().item
 
-    def remove_if(self, test):
+    def remove_if(self, predicate):
         """Take out and return all items that pass a test."""
-        taken = []
-        for line in self.lines.values():
-            out = [entry for entry in line.items if test(entry.item)]
-            for entry in out:
-                line.items.remove(entry)
-                taken.append(entry.item)
-        self.size -= len(taken)
-        return taken
+        removed = []
+        for queue in self.queues.values():
+            matching = [entry for entry in queue.items if predicate(entry.item)]
+            for entry in matching:
+                queue.items.remove(entry)
+                removed.append(entry.item)
+        self.size -= len(removed)
+        return removed
--- a/tests/test_fairqueue.py
+++ b/tests/test_fairqueue.py
@@ -5,7 +5,7 @@
 from gypsum_core.fairqueue import FairQueue
 
 
-def filled(weights, count):
+def fill_queue(weights, count):
     """A queue with as many items of each member, named by it."""
     queue = FairQueue(weights=weights)
     for member in weights:
@@ -15,13 +15,13 @@
 
 
 def test_members_share_by_weight():
-    queue = filled({"north": 2.0, "south": 1.0}, 60)
+    queue = fill_queue({"north": 2.0, "south": 1.0}, 60)
     counts = Counter(queue.pop() for _ in range(60))
     assert counts == {"north": 40, "south": 20}
 
 
 def test_newcomer_waits_for_its_share_only():
-    queue = filled({"north": 1.0}, 100)
+    queue = fill_queue({"north": 1.0}, 100)
     for _ in range(50):
         queue.pop()
     queue.push("south", member="south", worth=1.0, deadline=0)
@@ -33,6 +33,6 @@
     queue.push("late", member="a", worth=1.0, deadline=9)
     queue.push("soon", member="a", worth=1.0, deadline=1)
     queue.push("worthy", member="a", worth=5.0, deadline=99)
-    assert queue.ahead_of("a", worth=5.0, deadline=100) == 1
+    assert queue.count_ahead("a", worth=5.0, deadline=100) == 1
     assert queue.last("a") == "late"
     assert [queue.pop() for _ in range(4)] == ["worthy", "soon", "late", None]
