--- a/bench/overload.py
+++ b/bench/overload.py
@@ -125,8 +125,8 @@
         PLAIN_PUSH(self, item, member="all", worth=0.0, deadline=float(self.sequence))
 
     FairQueue.push = push
-    Admission.admit = lambda self, job, queue, slots, service: True
-    Admission.trim = lambda self, queue, member, slots, service: None
+    Admission.admit = lambda self, job, queue, slots, service_time: True
+    Admission.trim = lambda self, queue, member, slots, service_time: None
 
 
 PLAIN_PUSH = FairQueue.push
--- a/packages/core/gypsum_core/admission.py
+++ b/packages/core/gypsum_core/admission.py
@@ -1,6 +1,6 @@
 """Which requests may wait at a home, and which are refused at once."""
 
-from gypsum_core.limits import RETRY_SOON, expected_wait
+from gypsum_core.limits import DEFAULT_RETRY_AFTER, expected_wait
 from gypsum_core.records import Reason
 
 GONE_AFTER = 3.0
@@ -30,18 +30,18 @@
                 job,
                 Reason.NO_PRIMARY,
                 "the group has no primary",
-                retry_after=RETRY_SOON,
+                retry_after=DEFAULT_RETRY_AFTER,
             )
             return
         slots = (
-            self.home.lanes[self.home.view.primary].slots
+            self.home.loads[self.home.view.primary].slots
             if self.home.view.primary
             else 1
         )
-        service = self.primary_service()
-        if self.admit(job, self.home.primary_queue, slots, service):
+        service_time = self.primary_service()
+        if self.admit(job, self.home.primary_queue, slots, service_time):
             self.queue_primary(job)
-            self.trim(self.home.primary_queue, job.request.member, slots, service)
+            self.trim(self.home.primary_queue, job.request.member, slots, service_time)
 
     def gone_for(self):
         """Seconds without a primary that answers."""
@@ -54,10 +54,10 @@
 
     def primary_service(self):
         """Seconds that one statement takes at the primary."""
-        lane = self.home.lanes.get(self.home.view.primary)
-        return lane.service if lane else 0.0
+        load = self.home.loads.get(self.home.view.primary)
+        return load.service_time if load else 0.0
 
-    def admit(self, job, queue, slots, service):
+    def admit(self, job, queue, slots, service_time):
         """Refuse now what could not be answered in time; tell if it may wait."""
         member = job.request.member
         wait = expected_wait(
@@ -66,7 +66,7 @@
             ),
             share=queue.share(member),
             slots=slots,
-            service=service,
+            service_time=service_time,
         )
         late = self.ctx.now + wait > job.request.deadline
         if not late and len(queue) < self.ctx.tuning.queue_limit:
@@ -81,7 +81,7 @@
             job, Reason.OVERLOAD, f"{member}: queue is too long", retry_after=wait
         )
 
-    def too_late(self, job, lane):
+    def too_late(self, job, load):
         """Refuse a request that could not be answered any more; tell if so.
 
         What goes wrong without it: after a failover the queue holds what is about
@@ -89,18 +89,18 @@
         next one has expired meanwhile as well.
         """
         left = job.request.deadline - self.ctx.now
-        needed = lane.service if job.is_read else self.home.writes.whole_time
+        needed = load.service_time if job.is_read else self.home.writes.whole_time
         if job.maybe_run or job.request.tx or left >= TIME_NEEDED * needed:
             return False
         self.home.refuse(
             job,
             Reason.OVERLOAD,
             "its turn came too late to answer in time",
-            retry_after=RETRY_SOON,
+            retry_after=DEFAULT_RETRY_AFTER,
         )
         return True
 
-    def trim(self, queue, member, slots, service):
+    def trim(self, queue, member, slots, service_time):
         """Refuse what newer and worthier requests have pushed out of time.
 
         What goes wrong without it: a request of little worth waits until its
@@ -113,7 +113,7 @@
                 ahead=queue.queued(member) - 1,
                 share=queue.share(member),
                 slots=slots,
-                service=service,
+                service_time=service_time,
             )
             if job.maybe_run or self.ctx.now + wait <= job.request.deadline:
                 return
--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -5,7 +5,7 @@
 from gypsum_core.actions import DropConnections
 from gypsum_core.events import Failed, Ran, Settled, StatusKnown
 from gypsum_core.jobs import SLOTTED, Work
-from gypsum_core.limits import RETRY_SOON
+from gypsum_core.limits import DEFAULT_RETRY_AFTER
 from gypsum_core.records import Answer, Outcome, Reason, Verb
 from gypsum_core.writedesk import answer_done
 
@@ -33,7 +33,7 @@
         if operation.work in SLOTTED:
             seconds = self.ctx.now - operation.sent_at
             ran = isinstance(event, Ran | Settled)
-            self.home.lanes[operation.upstream].leave(seconds if ran else None)
+            self.home.loads[operation.upstream].finish(seconds if ran else None)
         if isinstance(event, Failed):
             self.on_failed(operation, event)
         elif isinstance(event, StatusKnown):
@@ -200,7 +200,7 @@
                 Reason.RETRY_BUDGET,
                 detail,
                 peer=operation.upstream,
-                retry_after=RETRY_SOON,
+                retry_after=DEFAULT_RETRY_AFTER,
             )
             return
         if job.is_read:
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -6,7 +6,7 @@
 from gypsum_core.actions import Abandon
 from gypsum_core.jobs import LASTING, Operation, Work
 from gypsum_core.ledger import ledger_row
-from gypsum_core.limits import RETRY_SOON
+from gypsum_core.limits import DEFAULT_RETRY_AFTER
 from gypsum_core.readdesk import Place
 from gypsum_core.records import Reason, Verb
 
@@ -42,7 +42,10 @@
                 continue
             if job.request.hops >= self.ctx.tuning.max_hops:
                 self.home.refuse(
-                    job, Reason.NO_PRIMARY, "no daemon reaches the primary", RETRY_SOON
+                    job,
+                    Reason.NO_PRIMARY,
+                    "no daemon reaches the primary",
+                    DEFAULT_RETRY_AFTER,
                 )
                 continue
             self.home.close(job)
@@ -73,7 +76,7 @@
             if upstream is None:
                 held.append(job)
                 continue
-            if self.home.admission.too_late(job, self.home.lanes[upstream]):
+            if self.home.admission.too_late(job, self.home.loads[upstream]):
                 continue
             self.start_read(job, upstream)
         held.extend(self.home.held)
@@ -82,8 +85,8 @@
     def any_replica_free(self):
         """Tell whether a replica has a free slot."""
         return any(
-            lane.free
-            for name, lane in self.home.lanes.items()
+            load.free_slots
+            for name, load in self.home.loads.items()
             if name != self.home.view.primary
         )
 
@@ -94,8 +97,8 @@
             return
         if not self.home.failover.trusted(primary):
             return
-        lane = self.home.lanes[primary]
-        while lane.free:
+        load = self.home.loads[primary]
+        while load.free_slots:
             job = (
                 self.home.urgent.popleft()
                 if self.home.urgent
@@ -106,7 +109,7 @@
             if job.closed:
                 self.home.txdesk.next_in_transaction(job.request.tx)
                 continue
-            if self.home.admission.too_late(job, lane):
+            if self.home.admission.too_late(job, load):
                 continue
             if job.is_read:
                 self.start_primary_read(job, primary)
@@ -225,7 +228,7 @@
             floor=self.home.reads.floor(job) if job.is_read else None,
             maybe_run_before=maybe_run_before,
         )
-        self.home.lanes[upstream].enter()
+        self.home.loads[upstream].start()
         self.ctx.emit(action)
 
     def outdated(self, operation):
@@ -251,7 +254,7 @@
     def take_back(self, operation):
         """Abandon an operation; its late answer finds nobody waiting."""
         self.home.operations.pop(operation.op, None)
-        self.home.lanes[operation.upstream].leave(None)
+        self.home.loads[operation.upstream].finish(None)
         self.ctx.emit(
             Abandon(
                 op=operation.op,
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -15,7 +15,7 @@
 from gypsum_core.group import GroupView
 from gypsum_core.homeboard import describe_home
 from gypsum_core.jobs import Job, Operation, Work
-from gypsum_core.limits import Lane
+from gypsum_core.limits import UpstreamLoad
 from gypsum_core.placing import Placing
 from gypsum_core.readdesk import ReadDesk
 from gypsum_core.recent import RecentWriters
@@ -67,13 +67,15 @@
         )
         self.failover = Failover(ctx=ctx, database=spec.name, view=self.view, home=self)
         self.recent = RecentWriters(limit=ctx.tuning.recent_writers)
-        self.lanes = {item.id: Lane(slots=item.slots) for item in spec.upstreams}
+        self.loads = {
+            item.id: UpstreamLoad(slots=item.slots) for item in spec.upstreams
+        }
         self.reads = ReadDesk(
             ctx=ctx,
             view=self.view,
             failover=self.failover,
             recent=self.recent,
-            lanes=self.lanes,
+            loads=self.loads,
             leaving=office.upstream_leaving,
         )
         self.writes = WriteDesk(ctx=ctx, view=self.view)
@@ -150,8 +152,10 @@
         for queue in (self.replica_queue, self.primary_queue):
             queue.weights = spec.weight_by_member
         for upstream in spec.upstreams:
-            lane = self.lanes.setdefault(upstream.id, Lane(slots=upstream.slots))
-            lane.slots = upstream.slots
+            load = self.loads.setdefault(
+                upstream.id, UpstreamLoad(slots=upstream.slots)
+            )
+            load.slots = upstream.slots
         self.view.upstreams = tuple(spec.upstream_by_id)
         self.view.majority = spec.majority
         for upstream in list(self.view.seen):
--- a/packages/core/gypsum_core/homeboard.py
+++ b/packages/core/gypsum_core/homeboard.py
@@ -74,7 +74,7 @@
 def describe_upstream(home, name):
     """Describe one upstream."""
     status = home.view.status(name)
-    lane = home.lanes[name]
+    load = home.loads[name]
     as_of = home.view.as_of(name)
     proved = as_of > float("-inf")
     return UpstreamBoard(
@@ -84,7 +84,7 @@
         received=status.received if status else 0,
         applied=status.applied if status else 0,
         lag_ms=round((home.ctx.now - as_of) * 1000, 1) if proved else -1.0,
-        running=lane.running,
-        slots=lane.slots,
+        running=load.running,
+        slots=load.slots,
         silent=home.failover.suspicious(name),
     )
--- a/packages/core/gypsum_core/limits.py
+++ b/packages/core/gypsum_core/limits.py
@@ -3,43 +3,43 @@
 from dataclasses import dataclass
 
 SMOOTHING = 0.1
-FIRST_GUESS = 0.005
-RETRY_SOON = 1.0
+INITIAL_SERVICE_TIME = 0.005
+DEFAULT_RETRY_AFTER = 1.0
 
 
 @dataclass(slots=True, kw_only=True)
-class Lane:
+class UpstreamLoad:
     """One upstream's slots, what runs in them and how long that takes."""
 
     slots: int
     running: int = 0
-    service: float = FIRST_GUESS
+    service_time: float = INITIAL_SERVICE_TIME
 
     @property
-    def free(self):
+    def free_slots(self):
         """How many more statements it may run at once."""
         return max(0, self.slots - self.running)
 
     @property
-    def delay(self):
+    def expected_delay(self):
         """Expected delay in seconds of one more statement."""
-        return self.service * (1.0 + self.running / max(1, self.slots))
+        return self.service_time * (1.0 + self.running / max(1, self.slots))
 
-    def enter(self):
+    def start(self):
         """A statement starts."""
         self.running += 1
 
-    def leave(self, seconds):
+    def finish(self, seconds):
         """A statement ended after `seconds` (None: it did not run to its end)."""
         self.running = max(0, self.running - 1)
         if seconds is not None:
-            self.service += SMOOTHING * (seconds - self.service)
+            self.service_time += SMOOTHING * (seconds - self.service_time)
 
 
-def expected_wait(*, ahead, share, slots, service):
+def expected_wait(*, ahead, share, slots, service_time):
     """Seconds until a request behind `ahead` others of its member is served.
 
     `share` is the part of the slots that the member's weight gives it among the
     members that wait.
     """
-    return (ahead + 1) * service / max(slots * share, 1e-9)
+    return (ahead + 1) * service_time / max(slots * share, 1e-9)
--- a/packages/core/gypsum_core/placing.py
+++ b/packages/core/gypsum_core/placing.py
@@ -33,16 +33,16 @@
             if upstream is not None:
                 self.home.dispatch.start_read(job, upstream)
                 return
-        lanes = [self.home.lanes[name] for name in upstreams]
-        slots = sum(lane.slots for lane in lanes)
-        service = min(lane.service for lane in lanes)
+        loads = [self.home.loads[name] for name in upstreams]
+        slots = sum(load.slots for load in loads)
+        service_time = min(load.service_time for load in loads)
         queue, member = self.home.replica_queue, job.request.member
-        if not self.home.admission.admit(job, queue, slots, service):
+        if not self.home.admission.admit(job, queue, slots, service_time):
             return
         queue.push(
             job, member=member, worth=job.kind.worth, deadline=job.request.deadline
         )
-        self.home.admission.trim(queue, member, slots, service)
+        self.home.admission.trim(queue, member, slots, service_time)
 
     def limit_wait(self, job):
         """Bound the wait for a replica that is about to cover a read."""
--- a/packages/core/gypsum_core/readdesk.py
+++ b/packages/core/gypsum_core/readdesk.py
@@ -49,12 +49,12 @@
 class ReadDesk:
     """Places reads by what the group view proves."""
 
-    def __init__(self, *, ctx, view, failover, recent, lanes, leaving):
+    def __init__(self, *, ctx, view, failover, recent, loads, leaving):
         self.ctx = ctx
         self.view = view
         self.failover = failover
         self.recent = recent
-        self.lanes = lanes
+        self.loads = loads
         self.leaving = leaving
         self.counts = ReadCounts()
 
@@ -140,5 +140,7 @@
 
     def quickest(self, upstreams):
         """The replica with a free slot and the least expected delay, or None."""
-        free = [name for name in upstreams if self.lanes[name].free]
-        return min(free, key=lambda name: (self.lanes[name].delay, name), default=None)
+        free = [name for name in upstreams if self.loads[name].free_slots]
+        return min(
+            free, key=lambda name: (self.loads[name].expected_delay, name), default=None
+        )
--- a/packages/core/gypsum_core/txdesk.py
+++ b/packages/core/gypsum_core/txdesk.py
@@ -4,7 +4,7 @@
 
 from gypsum_core import actions
 from gypsum_core.jobs import Work
-from gypsum_core.limits import RETRY_SOON
+from gypsum_core.limits import DEFAULT_RETRY_AFTER
 from gypsum_core.records import Answer, Outcome, Reason, Verb
 from gypsum_core.timers import PART
 from gypsum_core.transactions import Transaction
@@ -39,7 +39,7 @@
                 job,
                 Reason.TRANSACTION_LIMIT,
                 "too many open transactions",
-                retry_after=RETRY_SOON,
+                retry_after=DEFAULT_RETRY_AFTER,
             )
             return
         name = f"{self.ctx.daemon}.{self.ctx.token()}"
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -50,7 +50,7 @@
             return True
         quiet = self.home.failover.quiet_for(upstream)
         leads = upstream == self.home.view.primary
-        works = self.home.lanes[upstream].running > 0
+        works = self.home.loads[upstream].running > 0
         return (leads or works) and quiet >= self.ctx.tuning.poll_interval
 
     def refresh_interval(self):
