--- a/bench/overload.py
+++ b/bench/overload.py
@@ -126,7 +126,7 @@
 
     FairQueue.push = push
     Admission.admit = lambda self, job, queue, slots, service_time: True
-    Admission.trim = lambda self, queue, member, slots, service_time: None
+    Admission.refuse_displaced = lambda self, queue, member, slots, service_time: None
 
 
 PLAIN_PUSH = FairQueue.push
--- a/packages/core/gypsum_core/admission.py
+++ b/packages/core/gypsum_core/admission.py
@@ -3,9 +3,9 @@
 from gypsum_core.limits import DEFAULT_RETRY_AFTER, expected_wait
 from gypsum_core.records import Reason
 
-GONE_AFTER = 3.0
-RETRY_BEHIND = 2.0
-TIME_NEEDED = 1.5
+PRIMARY_LOSS_TOLERANCE = 3.0
+RETRY_AFTER_REPLICAS_BEHIND = 2.0
+SERVICE_TIME_MARGIN = 1.5
 
 
 class Admission:
@@ -22,10 +22,13 @@
                 job,
                 Reason.REPLICAS_BEHIND,
                 "no replica keeps up with the primary",
-                retry_after=RETRY_BEHIND,
+                retry_after=RETRY_AFTER_REPLICAS_BEHIND,
             )
             return
-        if self.gone_for() > GONE_AFTER and not self.home.failover.vetoed:
+        if (
+            self.leaderless_for() > PRIMARY_LOSS_TOLERANCE
+            and not self.home.failover.vetoed
+        ):
             self.home.refuse(
                 job,
                 Reason.NO_PRIMARY,
@@ -38,12 +41,14 @@
             if self.home.view.primary
             else 1
         )
-        service_time = self.primary_service()
+        service_time = self.primary_service_time()
         if self.admit(job, self.home.primary_queue, slots, service_time):
-            self.queue_primary(job)
-            self.trim(self.home.primary_queue, job.request.member, slots, service_time)
+            self.enqueue_primary(job)
+            self.refuse_displaced(
+                self.home.primary_queue, job.request.member, slots, service_time
+            )
 
-    def gone_for(self):
+    def leaderless_for(self):
         """Seconds without a primary that answers."""
         since = self.home.failover.leaderless_since
         if since is not None:
@@ -52,7 +57,7 @@
             return 0.0
         return self.home.failover.silence(self.home.view.primary)
 
-    def primary_service(self):
+    def primary_service_time(self):
         """Seconds that one statement takes at the primary."""
         load = self.home.loads.get(self.home.view.primary)
         return load.service_time if load else 0.0
@@ -71,17 +76,17 @@
         late = self.ctx.now + wait > job.request.deadline
         if not late and len(queue) < self.ctx.tuning.queue_limit:
             return True
-        self.overloaded(job, wait)
+        self.refuse_overloaded(job, wait)
         return False
 
-    def overloaded(self, job, wait):
+    def refuse_overloaded(self, job, wait):
         """Refuse a request that its member's queue leaves no time for."""
         member = job.request.member
         self.home.refuse(
             job, Reason.OVERLOAD, f"{member}: queue is too long", retry_after=wait
         )
 
-    def too_late(self, job, load):
+    def refuse_if_late(self, job, load):
         """Refuse a request that could not be answered any more; tell if so.
 
         What goes wrong without it: after a failover the queue holds what is about
@@ -90,7 +95,7 @@
         """
         left = job.request.deadline - self.ctx.now
         needed = load.service_time if job.is_read else self.home.writes.whole_time
-        if job.maybe_run or job.request.tx or left >= TIME_NEEDED * needed:
+        if job.maybe_run or job.request.tx or left >= SERVICE_TIME_MARGIN * needed:
             return False
         self.home.refuse(
             job,
@@ -100,7 +105,7 @@
         )
         return True
 
-    def trim(self, queue, member, slots, service_time):
+    def refuse_displaced(self, queue, member, slots, service_time):
         """Refuse what newer and worthier requests have pushed out of time.
 
         What goes wrong without it: a request of little worth waits until its
@@ -119,9 +124,9 @@
                 return
             queue.pop_last(member)
             if not job.closed:
-                self.overloaded(job, wait)
+                self.refuse_overloaded(job, wait)
 
-    def queue_primary(self, job, *, first=False):
+    def enqueue_primary(self, job, *, first=False):
         """Put a job into the primary's queue."""
         job.step = "queue"
         self.home.primary_queue.push(
--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -21,7 +21,7 @@
         """Look a key's outcome up in the ledger instead of running the request."""
         job.settling = True
         job.maybe_run = True
-        self.home.admission.queue_primary(job, first=True)
+        self.home.admission.enqueue_primary(job, first=True)
 
     def on_upstream(self, event):
         """Take in the answer to an operation; unknown ones are late: dropped."""
@@ -218,4 +218,4 @@
             self.home.transactions.drop(job.request.tx)
             self.settle(job)
             return
-        self.home.admission.queue_primary(job, first=True)
+        self.home.admission.enqueue_primary(job, first=True)
--- a/packages/core/gypsum_core/checks.py
+++ b/packages/core/gypsum_core/checks.py
@@ -4,13 +4,13 @@
 
 from gypsum_core.records import Mode, Verb
 
-READ_WORDS = frozenset({"select", "with", "values", "table", "explain", "show"})
-WRITE_WORDS = frozenset({"insert", "update", "delete", "replace", "with"})
-FIRST_WORD = re.compile(r"\s*([a-zA-Z]+)")
-WORDS_OF_MODE = {
-    Mode.READ: READ_WORDS,
-    Mode.WRITE: WRITE_WORDS,
-    Mode.TRANSACTION: READ_WORDS | WRITE_WORDS,
+READ_KEYWORDS = frozenset({"select", "with", "values", "table", "explain", "show"})
+WRITE_KEYWORDS = frozenset({"insert", "update", "delete", "replace", "with"})
+FIRST_KEYWORD = re.compile(r"\s*([a-zA-Z]+)")
+KEYWORDS_BY_MODE = {
+    Mode.READ: READ_KEYWORDS,
+    Mode.WRITE: WRITE_KEYWORDS,
+    Mode.TRANSACTION: READ_KEYWORDS | WRITE_KEYWORDS,
 }
 
 
@@ -32,10 +32,10 @@
     implicitly as CREATE does, ends the transaction that holds the ledger row, and
     the request may run twice.
     """
-    match = FIRST_WORD.match(statement.sql)
-    word = match.group(1).lower() if match else ""
-    allowed = WORDS_OF_MODE[mode]
-    if word in allowed:
+    match = FIRST_KEYWORD.match(statement.sql)
+    keyword = match.group(1).lower() if match else ""
+    allowed = KEYWORDS_BY_MODE[mode]
+    if keyword in allowed:
         return ""
     return f"mode {mode} takes statements that begin with {', '.join(sorted(allowed))}"
 
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -76,7 +76,7 @@
             if upstream is None:
                 held.append(job)
                 continue
-            if self.home.admission.too_late(job, self.home.loads[upstream]):
+            if self.home.admission.refuse_if_late(job, self.home.loads[upstream]):
                 continue
             self.start_read(job, upstream)
         held.extend(self.home.held)
@@ -109,7 +109,7 @@
             if job.closed:
                 self.home.txdesk.next_in_transaction(job.request.tx)
                 continue
-            if self.home.admission.too_late(job, load):
+            if self.home.admission.refuse_if_late(job, load):
                 continue
             if job.is_read:
                 self.start_primary_read(job, primary)
@@ -125,7 +125,7 @@
         if job.request.tx and not job.settling:
             self.home.urgent.appendleft(job)
             return
-        self.home.admission.queue_primary(job, first=True)
+        self.home.admission.enqueue_primary(job, first=True)
 
     def start_primary_read(self, job, primary):
         """Run a read at the primary, unless its proof has become stale."""
--- a/packages/core/gypsum_core/placing.py
+++ b/packages/core/gypsum_core/placing.py
@@ -42,7 +42,7 @@
         queue.push(
             job, member=member, worth=job.kind.worth, deadline=job.request.deadline
         )
-        self.home.admission.trim(queue, member, slots, service_time)
+        self.home.admission.refuse_displaced(queue, member, slots, service_time)
 
     def limit_wait(self, job):
         """Bound the wait for a replica that is about to cover a read."""
