--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -48,7 +48,7 @@
         """A status came back: from a probe or a group verb."""
         self.home.watch.answer_asker(operation, heard=True)
         if operation.work is Work.CLAIM:
-            self.home.claim.answered(status)
+            self.home.claim.on_answer(status)
         if operation.work is Work.PROBE and operation.fresh:
             self.home.watch.found_silent_connections(operation.upstream)
         self.home.learn(status, operation.sent_at)
@@ -151,7 +151,7 @@
         """An operation failed: decide whether to answer, retry or suspect."""
         self.home.watch.answer_asker(operation, heard=False)
         if operation.work is Work.CLAIM:
-            self.home.claim.failed()
+            self.home.claim.on_failure()
             self.home.watch.doubt(operation.upstream)
         if operation.work in (Work.FENCE, Work.PROMOTE):
             self.home.failover.verb_failed(operation.upstream, operation.term)
--- a/packages/core/gypsum_core/claim.py
+++ b/packages/core/gypsum_core/claim.py
@@ -1,7 +1,7 @@
 """The claim: which daemon's writes the group accepts."""
 
 
-class ClaimKeeper:
+class WriteClaim:
     """Our claim on one group, and whether the recent writers' table rests on it.
 
     The group refuses writes of a daemon that its claim row does not name. So while
@@ -16,50 +16,50 @@
         self.ctx = ctx
         self.view = view
         self.recent = recent
-        self.number = 0
-        self.adopted = False
-        self.running = False
+        self.attempt = 0
+        self.acknowledged = False
+        self.in_progress = False
 
     @property
     def holder(self):
         """The name under which the current attempt claims."""
-        return f"{self.ctx.daemon}/{self.ctx.incarnation}/{self.number}"
+        return f"{self.ctx.daemon}/{self.ctx.incarnation}/{self.attempt}"
 
     @property
     def held(self):
         """Tell whether the claim is ours, as last seen, and our table complete."""
-        return self.adopted and self.named_in(self.primary_status())
+        return self.acknowledged and self.is_named_in(self.primary_status())
 
     def primary_status(self):
         """The primary's last status, or None."""
         return self.view.status(self.view.primary) if self.view.primary else None
 
-    def named_in(self, status):
+    def is_named_in(self, status):
         """Tell whether a status names our current attempt."""
         return status is not None and status.claim == self.holder
 
     def begin(self):
         """Start an attempt; returns the name to claim under."""
-        self.number += 1
-        self.adopted = False
-        self.running = True
+        self.attempt += 1
+        self.acknowledged = False
+        self.in_progress = True
         return self.holder
 
-    def answered(self, status):
+    def on_answer(self, status):
         """The attempt was answered; the table starts anew behind it.
 
         Only now: a probe may show our name earlier, while the table still holds
         what it had before another home wrote.
         """
-        self.running = False
-        if self.named_in(status):
+        self.in_progress = False
+        if self.is_named_in(status):
             self.recent.reset(status.log_end)
-            self.adopted = True
+            self.acknowledged = True
 
-    def failed(self):
+    def on_failure(self):
         """The attempt failed or got no answer; whether it took effect is open."""
-        self.running = False
+        self.in_progress = False
 
-    def lost(self):
+    def on_lost(self):
         """The group refused our name."""
-        self.adopted = False
+        self.acknowledged = False
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -7,7 +7,7 @@
 from gypsum_core.actions import Warm
 from gypsum_core.admission import Admission
 from gypsum_core.answers import Answers
-from gypsum_core.claim import ClaimKeeper
+from gypsum_core.claim import WriteClaim
 from gypsum_core.dispatch import Dispatcher
 from gypsum_core.failover import PART as FAILOVER_PART
 from gypsum_core.failover import Failover
@@ -93,7 +93,7 @@
         self.jobs = {}
         self.operations = {}
         self.probing = {}
-        self.claim = ClaimKeeper(ctx=ctx, view=self.view, recent=self.recent)
+        self.claim = WriteClaim(ctx=ctx, view=self.view, recent=self.recent)
         self.round_at = float("-inf")
         self.round_set = False
         self.active = False
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -109,7 +109,7 @@
 
     def claim_group(self):
         """Make ourselves the one daemon whose writes the group takes."""
-        if self.home.claim.running or self.home.view.primary is None:
+        if self.home.claim.in_progress or self.home.view.primary is None:
             return
         self.home.launch(
             actions.Claim(
@@ -171,5 +171,5 @@
 
     def lost_claim(self, upstream):
         """Another daemon claimed the group: look before claiming it back."""
-        self.home.claim.lost()
+        self.home.claim.on_lost()
         self.probe(upstream)
--- a/tests/test_found_failures.py
+++ b/tests/test_found_failures.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from gypsum_core.actions import Write
-from gypsum_core.claim import ClaimKeeper
+from gypsum_core.claim import WriteClaim
 from gypsum_core.context import Context
 from gypsum_core.group import GroupView
 from gypsum_core.recent import RecentWriters
@@ -97,11 +97,11 @@
     view = GroupView(upstreams=("u1",), majority=1, marks=10)
     recent = RecentWriters(limit=10)
     recent.wrote(("north", ""), Position(term=1, index=5))
-    claim = ClaimKeeper(ctx=ctx, view=view, recent=recent)
+    claim = WriteClaim(ctx=ctx, view=view, recent=recent)
     holder = claim.begin()
     view.learn(claim_status(holder, 9), sent_at=1.0)
     assert not claim.held
-    claim.answered(claim_status(holder, 9))
+    claim.on_answer(claim_status(holder, 9))
     assert claim.held
     assert recent.needs(("north", "")) == Position(term=1, index=9)
 
@@ -115,10 +115,10 @@
     """
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
     view = GroupView(upstreams=("u1",), majority=1, marks=10)
-    claim = ClaimKeeper(ctx=ctx, view=view, recent=RecentWriters(limit=10))
+    claim = WriteClaim(ctx=ctx, view=view, recent=RecentWriters(limit=10))
     first = claim.begin()
-    claim.failed()
-    claim.answered(claim_status(claim.begin(), 3))
+    claim.on_failure()
+    claim.on_answer(claim_status(claim.begin(), 3))
     view.learn(claim_status(first, 7), sent_at=1.0)
     assert not claim.held
 
