--- a/packages/core/gypsum_core/admission.py
+++ b/packages/core/gypsum_core/admission.py
@@ -17,7 +17,7 @@
 
     def admit_primary(self, job):
         """Queue work for the primary, or refuse it at once."""
-        if job.writes and self.home.writes.stalled():
+        if job.is_write and self.home.writes.stalled():
             self.home.refuse(
                 job,
                 Reason.REPLICAS_BEHIND,
@@ -95,7 +95,7 @@
         """
         left = job.request.deadline - self.ctx.now
         needed = load.service_time if job.is_read else self.home.writes.whole_time
-        if job.maybe_run or job.request.tx or left >= SERVICE_TIME_MARGIN * needed:
+        if job.may_have_run or job.request.tx or left >= SERVICE_TIME_MARGIN * needed:
             return False
         self.home.refuse(
             job,
@@ -120,7 +120,7 @@
                 slots=slots,
                 service_time=service_time,
             )
-            if job.maybe_run or self.ctx.now + wait <= job.request.deadline:
+            if job.may_have_run or self.ctx.now + wait <= job.request.deadline:
                 return
             queue.pop_last(member)
             if not job.closed:
--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -4,7 +4,7 @@
 
 from gypsum_core.actions import DropConnections
 from gypsum_core.events import Failed, Ran, Settled, StatusKnown
-from gypsum_core.jobs import SLOTTED, Work
+from gypsum_core.jobs import SLOT_OPERATIONS, OperationKind
 from gypsum_core.limits import DEFAULT_RETRY_AFTER
 from gypsum_core.records import Answer, Outcome, Reason, Verb
 from gypsum_core.writedesk import answer_done
@@ -20,7 +20,7 @@
     def settle(self, job):
         """Look a key's outcome up in the ledger instead of running the request."""
         job.settling = True
-        job.maybe_run = True
+        job.may_have_run = True
         self.home.admission.enqueue_primary(job, first=True)
 
     def on_upstream(self, event):
@@ -30,7 +30,7 @@
             return
         if self.home.probing.get(operation.upstream) == operation.op:
             del self.home.probing[operation.upstream]
-        if operation.work in SLOTTED:
+        if operation.kind in SLOT_OPERATIONS:
             seconds = self.ctx.now - operation.sent_at
             ran = isinstance(event, Ran | Settled)
             self.home.loads[operation.upstream].finish(seconds if ran else None)
@@ -47,14 +47,14 @@
     def on_status(self, operation, status):
         """A status came back: from a probe or a group verb."""
         self.home.watch.answer_asker(operation, heard=True)
-        if operation.work is Work.CLAIM:
+        if operation.kind is OperationKind.CLAIM:
             self.home.claim.on_answer(status)
-        if operation.work is Work.PROBE and operation.fresh:
+        if operation.kind is OperationKind.PROBE and operation.fresh:
             self.home.watch.found_silent_connections(operation.upstream)
         self.home.learn(status, operation.sent_at)
-        if operation.work is Work.FENCE:
+        if operation.kind is OperationKind.FENCE:
             self.home.failover.fenced(status, operation.term)
-        if operation.work is Work.PROMOTE:
+        if operation.kind is OperationKind.PROMOTE:
             self.home.failover.promoted(status)
         self.home.dispatch.pump()
 
@@ -62,14 +62,14 @@
         """A statement ran at its upstream."""
         self.home.failover.heard(operation.upstream)
         job = operation.job
-        if operation.work is Work.READ:
+        if operation.kind is OperationKind.READ:
             self.answer_read(job, operation, event.result)
-        elif operation.work is Work.TX_BEGIN:
+        elif operation.kind is OperationKind.TX_BEGIN:
             self.home.txdesk.opened(job, operation)
-        elif operation.work is Work.TX_RUN:
+        elif operation.kind is OperationKind.TX_RUN:
             self.home.txdesk.ran_in_transaction(job, event.result)
         else:
-            if operation.work is Work.TX_COMMIT:
+            if operation.kind is OperationKind.TX_COMMIT:
                 self.home.transactions.drop(job.request.tx)
             self.committed(job, operation, event.result, event.position)
 
@@ -150,10 +150,10 @@
     def on_failed(self, operation, event):
         """An operation failed: decide whether to answer, retry or suspect."""
         self.home.watch.answer_asker(operation, heard=False)
-        if operation.work is Work.CLAIM:
+        if operation.kind is OperationKind.CLAIM:
             self.home.claim.on_failure()
             self.home.watch.doubt(operation.upstream)
-        if operation.work in (Work.FENCE, Work.PROMOTE):
+        if operation.kind in (OperationKind.FENCE, OperationKind.PROMOTE):
             self.home.failover.verb_failed(operation.upstream, operation.term)
         job = operation.job
         if job is None:
@@ -163,7 +163,7 @@
             self.home.failover.heard(operation.upstream)
         elif not event.stale and not event.claim_lost:
             self.home.watch.doubt(operation.upstream)
-        if operation.work in (Work.TX_RUN, Work.TX_COMMIT):
+        if operation.kind in (OperationKind.TX_RUN, OperationKind.TX_COMMIT):
             self.home.txdesk.transaction_failed(operation, event)
             return
         if job.closed:
@@ -180,7 +180,7 @@
         if event.stale or event.claim_lost:
             self.home.watch.lost_claim(operation.upstream)
         if not event.sent:
-            job.maybe_run = operation.maybe_run_before
+            job.may_have_run = operation.may_have_run_before
         self.try_again(operation, event.detail)
 
     def try_again(self, operation, detail):
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -4,7 +4,7 @@
 
 from gypsum_core import actions
 from gypsum_core.actions import Abandon
-from gypsum_core.jobs import LASTING, Operation, Work
+from gypsum_core.jobs import WRITE_OPERATIONS, Operation, OperationKind
 from gypsum_core.ledger import ledger_row
 from gypsum_core.limits import DEFAULT_RETRY_AFTER
 from gypsum_core.readdesk import Place
@@ -131,7 +131,7 @@
         """Run a read at the primary, unless its proof has become stale."""
         placement = self.home.reads.place(job, self.home.claim.held)
         if placement.place is Place.PRIMARY:
-            job.why_primary = placement.why
+            job.primary_reason = placement.why
             self.start_read(job, primary)
             return
         if placement.place is Place.REPLICA:
@@ -150,7 +150,7 @@
         self.start(
             job,
             actions.Read,
-            Work.READ,
+            OperationKind.READ,
             upstream,
             timeout=timeout,
             statement=job.request.statement,
@@ -169,14 +169,16 @@
         """Run a write, outcome, begin, statement, commit or rollback."""
         request = job.request
         if job.settling or request.verb is Verb.OUTCOME:
-            self.start(job, actions.Settle, Work.SETTLE, primary, row=ledger_row(job))
+            self.start(
+                job, actions.Settle, OperationKind.SETTLE, primary, row=ledger_row(job)
+            )
         elif request.verb is Verb.BEGIN:
             self.home.txdesk.begin(job, primary)
         elif request.verb is Verb.TX_QUERY:
             self.start(
                 job,
                 actions.TxRun,
-                Work.TX_RUN,
+                OperationKind.TX_RUN,
                 primary,
                 tx=request.tx,
                 statement=request.statement,
@@ -185,7 +187,7 @@
             self.start(
                 job,
                 actions.TxCommit,
-                Work.TX_COMMIT,
+                OperationKind.TX_COMMIT,
                 primary,
                 tx=request.tx,
                 row=ledger_row(job),
@@ -195,21 +197,21 @@
             self.start(
                 job,
                 actions.Write,
-                Work.WRITE,
+                OperationKind.WRITE,
                 primary,
                 statement=request.statement,
                 row=ledger_row(job),
                 holder=self.home.claim.holder,
             )
 
-    def start(self, job, kind, work, upstream, timeout=None, **fields):
+    def start(self, job, action_class, kind, upstream, timeout=None, **fields):
         """Emit a slotted operation for a job."""
-        maybe_run_before = job.maybe_run
-        job.maybe_run = maybe_run_before or work in LASTING
+        may_have_run_before = job.may_have_run
+        job.may_have_run = may_have_run_before or kind in WRITE_OPERATIONS
         job.attempts += 1
         job.started_at = self.ctx.now
-        job.step = work.value
-        action = kind(
+        job.step = kind.value
+        action = action_class(
             op=self.ctx.next_op(),
             database=self.home.spec.name,
             upstream=upstream,
@@ -219,21 +221,24 @@
         job.op = action.op
         self.home.operations[action.op] = Operation(
             op=action.op,
-            work=work,
+            kind=kind,
             upstream=upstream,
             sent_at=self.ctx.now,
             term=self.home.view.term,
             job=job,
             as_of=self.home.view.as_of(upstream),
             floor=self.home.reads.floor(job) if job.is_read else None,
-            maybe_run_before=maybe_run_before,
+            may_have_run_before=may_have_run_before,
         )
         self.home.loads[upstream].start()
         self.ctx.emit(action)
 
     def outdated(self, operation):
         """Tell whether an operation runs at a primary that leads no more."""
-        if operation.work is Work.READ and operation.job.why_primary is None:
+        if (
+            operation.kind is OperationKind.READ
+            and operation.job.primary_reason is None
+        ):
             return False
         return (
             operation.term != self.home.view.term
@@ -248,7 +253,7 @@
         """
         for operation in list(self.home.operations.values()):
             silent = self.home.failover.suspicious(operation.upstream)
-            if operation.work is Work.READ and silent:
+            if operation.kind is OperationKind.READ and silent:
                 self.take_back(operation)
 
     def take_back(self, operation):
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -14,7 +14,7 @@
 from gypsum_core.fairqueue import FairQueue
 from gypsum_core.group import GroupView
 from gypsum_core.homeboard import describe_home
-from gypsum_core.jobs import Job, Operation, Work
+from gypsum_core.jobs import Job, Operation, OperationKind
 from gypsum_core.limits import UpstreamLoad
 from gypsum_core.placing import Placing
 from gypsum_core.readdesk import ReadDesk
@@ -28,12 +28,12 @@
 from gypsum_core.writedesk import WriteDesk
 
 WARM_SPARE = 2
-WORK_OF_ACTION = {
-    actions.Probe: Work.PROBE,
-    actions.Fence: Work.FENCE,
-    actions.Promote: Work.PROMOTE,
-    actions.Follow: Work.FOLLOW,
-    actions.Claim: Work.CLAIM,
+KIND_BY_ACTION = {
+    actions.Probe: OperationKind.PROBE,
+    actions.Fence: OperationKind.FENCE,
+    actions.Promote: OperationKind.PROMOTE,
+    actions.Follow: OperationKind.FOLLOW,
+    actions.Claim: OperationKind.CLAIM,
 }
 
 
@@ -203,11 +203,11 @@
 
     def launch(self, action):
         """Emit an action of the failover machine and note what it is for."""
-        work = WORK_OF_ACTION[type(action)]
+        kind = KIND_BY_ACTION[type(action)]
         term = getattr(action, "term", self.view.term)
         self.operations[action.op] = Operation(
             op=action.op,
-            work=work,
+            kind=kind,
             upstream=action.upstream,
             sent_at=self.ctx.now,
             term=term,
@@ -278,7 +278,7 @@
     def refuse(self, job, reason, detail, retry_after=0.0, *, peer="", unclear=False):
         """Answer that a request was not run, or that this is not known."""
         asks = job.request.verb is Verb.OUTCOME
-        known = not job.maybe_run and not unclear and not asks
+        known = not job.may_have_run and not unclear and not asks
         known = known or reason in (
             Reason.SQL_ERROR,
             Reason.KEY_REUSED,
--- a/packages/core/gypsum_core/jobs.py
+++ b/packages/core/gypsum_core/jobs.py
@@ -11,7 +11,7 @@
 class Job:
     """One request at its home.
 
-    `origin` is the daemon to answer. `maybe_run` says that an attempt may have
+    `origin` is the daemon to answer. `may_have_run` says that an attempt may have
     taken effect, so that "not run" needs proof. `closed` says that the final
     answer is out and whatever comes later is dropped.
     """
@@ -20,12 +20,12 @@
     origin: str
     kind: KindSpec
     arrived: float
-    maybe_run: bool = False
+    may_have_run: bool = False
     attempts: int = 0
     closed: bool = False
     settling: bool = False
-    waited_replica: bool = False
-    why_primary: Reason | None = None
+    waited_for_replica: bool = False
+    primary_reason: Reason | None = None
     result: Result | None = None
     position: Position | None = None
     served_by: str = ""
@@ -45,14 +45,14 @@
         return self.request.verb is Verb.QUERY and self.kind.mode is Mode.READ
 
     @property
-    def writes(self):
+    def is_write(self):
         """Tell whether it leaves a ledger row."""
         if self.request.verb is Verb.COMMIT:
             return True
         return self.request.verb is Verb.QUERY and self.kind.mode is Mode.WRITE
 
 
-class Work(StrEnum):
+class OperationKind(StrEnum):
     """What an upstream operation is for."""
 
     PROBE = "probe"
@@ -69,18 +69,18 @@
     TX_COMMIT = "commit"
 
 
-SLOTTED = frozenset(
+SLOT_OPERATIONS = frozenset(
     {
-        Work.READ,
-        Work.WRITE,
-        Work.SETTLE,
-        Work.TX_BEGIN,
-        Work.TX_RUN,
-        Work.TX_COMMIT,
+        OperationKind.READ,
+        OperationKind.WRITE,
+        OperationKind.SETTLE,
+        OperationKind.TX_BEGIN,
+        OperationKind.TX_RUN,
+        OperationKind.TX_COMMIT,
     }
 )
 
-LASTING = frozenset({Work.WRITE, Work.TX_COMMIT})
+WRITE_OPERATIONS = frozenset({OperationKind.WRITE, OperationKind.TX_COMMIT})
 
 
 @dataclass(slots=True, kw_only=True)
@@ -89,19 +89,19 @@
 
     `as_of` is the time from which a read's age counts, `floor` the position that it
     was proved to show and that its caller's token will carry; a caller who came
-    without a token need not be vouched for again. `maybe_run_before` is what
-    the job's `maybe_run` returns to when this attempt provably did nothing.
+    without a token need not be vouched for again. `may_have_run_before` is what
+    the job's `may_have_run` returns to when this attempt provably did nothing.
     """
 
     op: int
-    work: Work
+    kind: OperationKind
     upstream: str
     sent_at: float
     term: int
     job: Job | None = None
     as_of: float = 0.0
     floor: Position | None = None
-    asker: str = ""
+    requester: str = ""
     nonce: int = 0
     fresh: bool = False
-    maybe_run_before: bool = False
+    may_have_run_before: bool = False
--- a/packages/core/gypsum_core/placing.py
+++ b/packages/core/gypsum_core/placing.py
@@ -18,7 +18,7 @@
             self.send_to_replica(job, placement.upstreams)
             return
         if placement.place is Place.PRIMARY:
-            job.why_primary = placement.why
+            job.primary_reason = placement.why
             self.home.admission.admit_primary(job)
             return
         if placement.place is Place.CATCH_UP:
@@ -46,7 +46,7 @@
 
     def limit_wait(self, job):
         """Bound the wait for a replica that is about to cover a read."""
-        job.waited_replica = True
+        job.waited_for_replica = True
         self.ctx.set_timer(
             self.ctx.tuning.replica_wait,
             part=CATCH_UP,
--- a/packages/core/gypsum_core/readdesk.py
+++ b/packages/core/gypsum_core/readdesk.py
@@ -42,7 +42,7 @@
             self.replica += 1
             return
         self.primary += 1
-        why = job.why_primary or Reason.NO_PRIMARY
+        why = job.primary_reason or Reason.NO_PRIMARY
         self.why[why] = self.why.get(why, 0) + 1
 
 
@@ -129,7 +129,7 @@
         this a read that is only just not covered, or covered since the last look,
         goes to the primary.
         """
-        if job.waited_replica or job.kind.max_age_ms <= 0:
+        if job.waited_for_replica or job.kind.max_age_ms <= 0:
             return False
         wait = self.ctx.tuning.replica_wait
         if job.request.deadline - self.ctx.now < 4 * wait:
--- a/packages/core/gypsum_core/txdesk.py
+++ b/packages/core/gypsum_core/txdesk.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from gypsum_core import actions
-from gypsum_core.jobs import Work
+from gypsum_core.jobs import OperationKind
 from gypsum_core.limits import DEFAULT_RETRY_AFTER
 from gypsum_core.records import Answer, Outcome, Reason, Verb
 from gypsum_core.timers import PART
@@ -44,7 +44,9 @@
             return
         name = f"{self.ctx.daemon}.{self.ctx.token()}"
         job.request = replace(job.request, tx=name)
-        self.home.dispatch.start(job, actions.TxBegin, Work.TX_BEGIN, primary, tx=name)
+        self.home.dispatch.start(
+            job, actions.TxBegin, OperationKind.TX_BEGIN, primary, tx=name
+        )
 
     def roll_back(self, job):
         """End a transaction without its effects."""
@@ -133,7 +135,7 @@
         job = operation.job
         name = job.request.tx
         tx = self.home.transactions.open.get(name)
-        if operation.work is Work.TX_RUN and event.reason is Reason.SQL_ERROR:
+        if operation.kind is OperationKind.TX_RUN and event.reason is Reason.SQL_ERROR:
             if not job.closed:
                 self.home.refuse(
                     job, event.reason, event.detail, peer=operation.upstream
@@ -148,11 +150,11 @@
             self.abort(tx)
         if job.closed:
             return
-        unclear = event.sent and operation.work is Work.TX_COMMIT
+        unclear = event.sent and operation.kind is OperationKind.TX_COMMIT
         if unclear and event.reason is None:
             self.home.answers.settle(job)
             return
-        job.maybe_run = operation.maybe_run_before
+        job.may_have_run = operation.may_have_run_before
         if event.stale:
             self.home.watch.lost_claim(operation.upstream)
         reason = event.reason or Reason.TRANSACTION_LOST
@@ -164,7 +166,7 @@
         What goes wrong otherwise: another home takes over, in a drain or because
         the list changed, and every transaction open here fails at its commit.
         """
-        job.maybe_run = operation.maybe_run_before
+        job.may_have_run = operation.may_have_run_before
         self.home.watch.lost_claim(operation.upstream)
         self.home.urgent.append(job)
 
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -2,7 +2,7 @@
 
 from gypsum_core import actions
 from gypsum_core.actions import DropConnections, Probe
-from gypsum_core.jobs import Operation, Work
+from gypsum_core.jobs import Operation, OperationKind
 from gypsum_core.messages import PrimaryHeard
 from gypsum_core.readdesk import CATCHING_UP
 from gypsum_core.timers import PART, POLL, ROUND
@@ -132,10 +132,10 @@
 
     def answer_asker(self, operation, *, heard):
         """Tell a peer that asked whether we hear the upstream."""
-        if operation.work is not Work.ASKED_PROBE:
+        if operation.kind is not OperationKind.ASKED_PROBE:
             return
         self.ctx.send(
-            operation.asker,
+            operation.requester,
             PrimaryHeard(
                 database=self.home.spec.name,
                 upstream=operation.upstream,
@@ -155,11 +155,11 @@
         )
         self.home.operations[action.op] = Operation(
             op=action.op,
-            work=Work.ASKED_PROBE,
+            kind=OperationKind.ASKED_PROBE,
             upstream=question.upstream,
             sent_at=self.ctx.now,
             term=self.home.view.term,
-            asker=peer,
+            requester=peer,
             nonce=question.nonce,
         )
         self.ctx.emit(action)
--- a/packages/core/gypsum_core/writedesk.py
+++ b/packages/core/gypsum_core/writedesk.py
@@ -30,7 +30,7 @@
         job.position = position
         job.served_by = served_by
         job.step = "confirm"
-        job.maybe_run = True
+        job.may_have_run = True
         job.committed_at = self.ctx.now
         self.unconfirmed.append(job)
 
