--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -42,7 +42,7 @@
             self.on_settled(operation, event)
         else:
             self.on_ran(operation, event)
-        self.home.dispatch.pump()
+        self.home.dispatch.start_queued()
 
     def on_status(self, operation, status):
         """A status came back: from a probe or a group verb."""
@@ -56,7 +56,7 @@
             self.home.failover.fenced(status, operation.term)
         if operation.kind is OperationKind.PROMOTE:
             self.home.failover.promoted(status)
-        self.home.dispatch.pump()
+        self.home.dispatch.start_queued()
 
     def on_ran(self, operation, event):
         """A statement ran at its upstream."""
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -10,8 +10,8 @@
 from gypsum_core.readdesk import Place
 from gypsum_core.records import Reason, Verb
 
-HELD_LIMIT = 32
-FIRST_TRY_PART = 0.5
+MAX_READS_TRIED = 32
+FIRST_ATTEMPT_SHARE = 0.5
 
 
 class Dispatcher:
@@ -21,12 +21,12 @@
         self.home = home
         self.ctx = home.ctx
 
-    def pump(self):
+    def start_queued(self):
         """Start whatever may start now."""
         self.redirect_if_vetoed()
-        self.pump_replicas()
-        self.pump_primary()
-        if self.home.awaiting or self.home.writes.unconfirmed:
+        self.start_replica_reads()
+        self.start_primary_work()
+        if self.home.waiting_reads or self.home.writes.unconfirmed:
             self.home.watch.ensure_round()
 
     def redirect_if_vetoed(self):
@@ -34,9 +34,10 @@
         if not self.home.failover.vetoed:
             return
         waiting = (
-            self.home.primary_queue.remove_if(lambda job: True) + self.home.awaiting
+            self.home.primary_queue.remove_if(lambda job: True)
+            + self.home.waiting_reads
         )
-        self.home.awaiting = []
+        self.home.waiting_reads = []
         for job in waiting:
             if job.closed:
                 continue
@@ -53,14 +54,14 @@
                 job.origin, job.request.id, self.home.failover.deputy
             )
 
-    def pump_replicas(self):
+    def start_replica_reads(self):
         """Start queued reads at replicas with free slots."""
         tried = 0
-        held = deque()
-        while tried < HELD_LIMIT and self.any_replica_free():
+        deferred = deque()
+        while tried < MAX_READS_TRIED and self.has_free_replica():
             job = (
-                self.home.held.popleft()
-                if self.home.held
+                self.home.deferred_reads.popleft()
+                if self.home.deferred_reads
                 else self.home.replica_queue.pop()
             )
             if job is None:
@@ -74,15 +75,15 @@
                 continue
             upstream = self.home.reads.quickest(placement.upstreams)
             if upstream is None:
-                held.append(job)
+                deferred.append(job)
                 continue
             if self.home.admission.refuse_if_late(job, self.home.loads[upstream]):
                 continue
             self.start_read(job, upstream)
-        held.extend(self.home.held)
-        self.home.held = held
+        deferred.extend(self.home.deferred_reads)
+        self.home.deferred_reads = deferred
 
-    def any_replica_free(self):
+    def has_free_replica(self):
         """Tell whether a replica has a free slot."""
         return any(
             load.free_slots
@@ -90,7 +91,7 @@
             if name != self.home.view.primary
         )
 
-    def pump_primary(self):
+    def start_primary_work(self):
         """Start queued work at the primary while it is valid and has slots."""
         primary = self.home.view.primary
         if primary is None or self.home.failover.election is not None:
@@ -100,8 +101,8 @@
         load = self.home.loads[primary]
         while load.free_slots:
             job = (
-                self.home.urgent.popleft()
-                if self.home.urgent
+                self.home.transaction_jobs.popleft()
+                if self.home.transaction_jobs
                 else self.home.primary_queue.pop()
             )
             if job is None:
@@ -115,15 +116,15 @@
                 self.start_primary_read(job, primary)
                 continue
             if not self.home.claim.held and not job.settling:
-                self.put_back(job)
+                self.requeue_at_head(job)
                 self.home.watch.claim_group()
                 return
             self.start_at_primary(job, primary)
 
-    def put_back(self, job):
+    def requeue_at_head(self, job):
         """Return a job to the head of where it came from."""
         if job.request.tx and not job.settling:
-            self.home.urgent.appendleft(job)
+            self.home.transaction_jobs.appendleft(job)
             return
         self.home.admission.enqueue_primary(job, first=True)
 
@@ -142,7 +143,7 @@
             self.start_read(job, primary)
             return
         job.step = f"wait_{placement.place}"
-        self.home.awaiting.append(job)
+        self.home.waiting_reads.append(job)
 
     def start_read(self, job, upstream):
         """Run a read at an upstream."""
@@ -163,7 +164,7 @@
         whole deadline with it, and a retry that would succeed comes too late.
         """
         left = max(0.001, job.request.deadline - self.ctx.now)
-        return left * FIRST_TRY_PART if job.attempts < 2 else left
+        return left * FIRST_ATTEMPT_SHARE if job.attempts < 2 else left
 
     def start_at_primary(self, job, primary):
         """Run a write, outcome, begin, statement, commit or rollback."""
@@ -233,7 +234,7 @@
         self.home.loads[upstream].start()
         self.ctx.emit(action)
 
-    def outdated(self, operation):
+    def is_outdated(self, operation):
         """Tell whether an operation runs at a primary that leads no more."""
         if (
             operation.kind is OperationKind.READ
@@ -245,7 +246,7 @@
             or operation.upstream != self.home.view.primary
         )
 
-    def rescue_reads(self):
+    def abandon_silent_reads(self):
         """Take reads back from upstreams that have gone silent.
 
         What goes wrong without it: a read sent to a replica just before that froze
@@ -254,9 +255,9 @@
         for operation in list(self.home.operations.values()):
             silent = self.home.failover.suspicious(operation.upstream)
             if operation.kind is OperationKind.READ and silent:
-                self.take_back(operation)
+                self.abandon_and_retry(operation)
 
-    def take_back(self, operation):
+    def abandon_and_retry(self, operation):
         """Abandon an operation; its late answer finds nobody waiting."""
         self.home.operations.pop(operation.op, None)
         self.home.loads[operation.upstream].finish(None)
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -87,9 +87,9 @@
             burst=ctx.tuning.retry_burst,
             tokens=ctx.tuning.retry_burst,
         )
-        self.held = deque()
-        self.urgent = deque()
-        self.awaiting = []
+        self.deferred_reads = deque()
+        self.transaction_jobs = deque()
+        self.waiting_reads = []
         self.jobs = {}
         self.operations = {}
         self.probing = {}
@@ -162,7 +162,7 @@
             if upstream not in spec.upstream_by_id:
                 self.view.forget(upstream)
         self.warm()
-        self.dispatch.pump()
+        self.dispatch.start_queued()
 
     @property
     def busy(self):
@@ -194,7 +194,7 @@
             self.placing.place_read(job)
         else:
             self.admission.admit_primary(job)
-        self.dispatch.pump()
+        self.dispatch.start_queued()
 
     def kind_of(self, request):
         """The request's kind; verbs without one get the transaction's defaults."""
@@ -230,13 +230,13 @@
         self.answers.confirm_writes()
         self.failover.check()
         self.placing.recheck()
-        self.dispatch.pump()
+        self.dispatch.start_queued()
 
     def primary_changed(self):
         """Another primary or term is in force: nothing of the old one counts."""
         for operation in list(self.operations.values()):
-            if operation.job and self.dispatch.outdated(operation):
-                self.dispatch.take_back(operation)
+            if operation.job and self.dispatch.is_outdated(operation):
+                self.dispatch.abandon_and_retry(operation)
         for tx in self.transactions.strangers(self.view.primary, self.view.term):
             self.transactions.drop(tx.tx)
             self.txdesk.abort(tx)
@@ -248,14 +248,14 @@
         """A timer of this home is due."""
         if timer.part == FAILOVER_PART:
             self.failover.check()
-            self.dispatch.pump()
+            self.dispatch.start_queued()
         elif timer.part == DEADLINE:
             self.deadline_over(timer.detail)
         elif timer.part == CATCH_UP:
             self.placing.waited_enough(timer.detail)
         elif timer.detail == ROUND:
             self.round_set = False
-            if self.awaiting or self.writes.unconfirmed:
+            if self.waiting_reads or self.writes.unconfirmed:
                 self.watch.ensure_round()
         elif timer.detail == POLL:
             self.watch.poll()
@@ -316,10 +316,10 @@
         """Send everything that has not started to the next home."""
         waiting = self.primary_queue.remove_if(lambda job: not job.settling)
         waiting += self.replica_queue.remove_if(lambda job: True)
-        waiting += self.awaiting
-        waiting += self.held
-        self.awaiting = []
-        self.held.clear()
+        waiting += self.waiting_reads
+        waiting += self.deferred_reads
+        self.waiting_reads = []
+        self.deferred_reads.clear()
         for job in waiting:
             if job.closed:
                 continue
--- a/packages/core/gypsum_core/node.py
+++ b/packages/core/gypsum_core/node.py
@@ -150,7 +150,7 @@
             item.watch.asked(peer, message)
         elif isinstance(message, PrimaryHeard):
             item.failover.peer_said(peer, message)
-            item.dispatch.pump()
+            item.dispatch.start_queued()
         elif isinstance(message, TermNews) and item.active:
             item.watch.poll_once()
 
--- a/packages/core/gypsum_core/placing.py
+++ b/packages/core/gypsum_core/placing.py
@@ -24,11 +24,11 @@
         if placement.place is Place.CATCH_UP:
             self.limit_wait(job)
         job.step = f"wait_{placement.place}"
-        self.home.awaiting.append(job)
+        self.home.waiting_reads.append(job)
 
     def send_to_replica(self, job, upstreams):
         """Start a read at a free replica, or queue it if there is time."""
-        if not self.home.replica_queue and not self.home.held:
+        if not self.home.replica_queue and not self.home.deferred_reads:
             upstream = self.home.reads.quickest(upstreams)
             if upstream is not None:
                 self.home.dispatch.start_read(job, upstream)
@@ -56,7 +56,7 @@
 
     def recheck(self):
         """Place the reads that waited for knowledge again."""
-        waiting, self.home.awaiting = self.home.awaiting, []
+        waiting, self.home.waiting_reads = self.home.waiting_reads, []
         for job in waiting:
             if not job.closed:
                 self.place_again(job)
@@ -67,7 +67,7 @@
         catching_up = job.step == CATCHING_UP and (placement.place is Place.PRIMARY)
         stuck = placement.place in (Place.ROUND, Place.STUCK)
         if catching_up or stuck:
-            self.home.awaiting.append(job)
+            self.home.waiting_reads.append(job)
             if stuck and not self.home.claim.held and job.request.session is None:
                 self.home.watch.claim_group()
             return
@@ -76,8 +76,8 @@
     def waited_enough(self, request_id):
         """The bounded wait for a replica is over."""
         job = self.home.jobs.get(request_id)
-        if job is None or job not in self.home.awaiting:
+        if job is None or job not in self.home.waiting_reads:
             return
-        self.home.awaiting.remove(job)
+        self.home.waiting_reads.remove(job)
         self.place_read(job)
-        self.home.dispatch.pump()
+        self.home.dispatch.start_queued()
--- a/packages/core/gypsum_core/txdesk.py
+++ b/packages/core/gypsum_core/txdesk.py
@@ -71,8 +71,10 @@
         )
         for job in tx.waiting:
             self.home.refuse(job, Reason.TRANSACTION_LOST, "the transaction has ended")
-        for job in [item for item in self.home.urgent if item.request.tx == tx.tx]:
-            self.home.urgent.remove(job)
+        for job in [
+            item for item in self.home.transaction_jobs if item.request.tx == tx.tx
+        ]:
+            self.home.transaction_jobs.remove(job)
             self.home.refuse(job, Reason.TRANSACTION_LOST, "the transaction has ended")
 
     def opened(self, job, operation):
@@ -127,7 +129,7 @@
                 self.roll_back(job)
                 return
             tx.busy = True
-            self.home.urgent.append(job)
+            self.home.transaction_jobs.append(job)
             return
 
     def transaction_failed(self, operation, event):
@@ -168,7 +170,7 @@
         """
         job.may_have_run = operation.may_have_run_before
         self.home.watch.lost_claim(operation.upstream)
-        self.home.urgent.append(job)
+        self.home.transaction_jobs.append(job)
 
     def abort_transaction_of(self, job):
         """End the transaction whose statement outlived its caller's deadline."""
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -31,8 +31,8 @@
                 self.probe(upstream)
         self.home.txdesk.end_idle_transactions()
         self.home.failover.check()
-        self.home.dispatch.rescue_reads()
-        self.home.dispatch.pump()
+        self.home.dispatch.abandon_silent_reads()
+        self.home.dispatch.start_queued()
         pause = tuning.idle_poll_interval if idle else tuning.poll_interval
         self.ctx.set_timer(pause, part=PART, database=self.home.spec.name, detail=POLL)
 
@@ -100,9 +100,9 @@
 
     def round_gap(self):
         """Seconds between two rounds: short where callers wait for knowledge."""
-        if any(job.step != CATCHING_UP for job in self.home.awaiting):
+        if any(job.step != CATCHING_UP for job in self.home.waiting_reads):
             return ROUND_GAP
-        gap = CATCH_UP_GAP if self.home.awaiting else float("inf")
+        gap = CATCH_UP_GAP if self.home.waiting_reads else float("inf")
         if self.home.writes.unconfirmed:
             gap = min(gap, self.home.writes.round_gap())
         return gap
