--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -10,7 +10,7 @@
 from gypsum_core.writedesk import answer_done
 
 
-class Answers:
+class ResponseHandler:
     """Turns upstreams' answers into final answers, retries or suspicion."""
 
     def __init__(self, *, home):
@@ -23,7 +23,7 @@
         job.may_have_run = True
         self.home.admission.enqueue_primary(job, first=True)
 
-    def on_upstream(self, event):
+    def on_response(self, event):
         """Take in the answer to an operation; unknown ones are late: dropped."""
         operation = self.home.operations.pop(event.op, None)
         if operation is None:
@@ -71,7 +71,7 @@
         else:
             if operation.kind is OperationKind.TX_COMMIT:
                 self.home.transactions.drop(job.request.tx)
-            self.committed(job, operation, event.result, event.position)
+            self.on_committed(job, operation, event.result, event.position)
 
     def answer_read(self, job, operation, result):
         """Answer a read with the proven age of its data."""
@@ -100,7 +100,7 @@
             ),
         )
 
-    def committed(self, job, operation, result, position):
+    def on_committed(self, job, operation, result, position):
         """A write is in the primary's log; it waits for its majority."""
         self.home.view.observed(
             sent_at=operation.sent_at, position=position, by=operation.upstream
@@ -119,7 +119,7 @@
         the new term, which a majority holds. The ledger knows what became of it.
         """
         if position.term != operation.term:
-            self.run_again(job)
+            self.requeue(job)
             return
         self.home.writes.add(
             job, result=result, position=position, served_by=operation.upstream
@@ -181,9 +181,9 @@
             self.home.watch.lost_claim(operation.upstream)
         if not event.sent:
             job.may_have_run = operation.may_have_run_before
-        self.try_again(operation, event.detail)
+        self.retry(operation, event.detail)
 
-    def try_again(self, operation, detail):
+    def retry(self, operation, detail):
         """Requeue a job: reads are harmless, the ledger guards the writes."""
         job = operation.job
         if job.request.verb in (Verb.TX_QUERY, Verb.ROLLBACK):
@@ -192,7 +192,7 @@
             )
             return
         if job.request.verb is Verb.COMMIT:
-            self.run_again(job)
+            self.requeue(job)
             return
         if not self.home.budget.withdraw():
             self.home.refuse(
@@ -206,9 +206,9 @@
         if job.is_read:
             self.home.placing.place_read(job)
             return
-        self.run_again(job)
+        self.requeue(job)
 
-    def run_again(self, job):
+    def requeue(self, job):
         """Queue a job whose first attempt may have taken effect.
 
         A write runs again under its key. A commit cannot: its transaction died
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -270,4 +270,4 @@
             )
         )
         if not operation.job.closed:
-            self.home.answers.try_again(operation, "its primary was replaced")
+            self.home.responses.retry(operation, "its primary was replaced")
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -6,7 +6,7 @@
 from gypsum_core import actions
 from gypsum_core.actions import Warm
 from gypsum_core.admission import Admission
-from gypsum_core.answers import Answers
+from gypsum_core.answers import ResponseHandler
 from gypsum_core.claim import WriteClaim
 from gypsum_core.dispatch import Dispatcher
 from gypsum_core.failover import PART as FAILOVER_PART
@@ -105,7 +105,7 @@
         self.watch = Watch(home=self)
         self.txdesk = TransactionDesk(home=self)
         self.placing = Placing(home=self)
-        self.answers = Answers(home=self)
+        self.responses = ResponseHandler(home=self)
 
     def activate(self):
         """Start polling the group."""
@@ -227,7 +227,7 @@
         changed = self.view.learn(status, sent_at=sent_at)
         if changed:
             self.primary_changed()
-        self.answers.confirm_writes()
+        self.responses.confirm_writes()
         self.failover.check()
         self.placing.recheck()
         self.dispatch.start_queued()
@@ -242,7 +242,7 @@
             self.txdesk.abort(tx)
         if self.view.primary is not None:
             for job in self.writes.take_stranded():
-                self.answers.run_again(job)
+                self.responses.requeue(job)
 
     def on_timer(self, timer):
         """A timer of this home is due."""
--- a/packages/core/gypsum_core/node.py
+++ b/packages/core/gypsum_core/node.py
@@ -109,7 +109,7 @@
         """Give an upstream's answer to the home that asked."""
         item = self.homes.get(event.database)
         if item is not None:
-            item.answers.on_upstream(event)
+            item.responses.on_response(event)
 
     def on_message(self, peer, message):
         """Take in a message from another daemon."""
--- a/packages/core/gypsum_core/txdesk.py
+++ b/packages/core/gypsum_core/txdesk.py
@@ -21,7 +21,7 @@
         """Hand a statement, commit or rollback to its transaction."""
         tx = self.home.transactions.find(job.request.tx, job.request.member)
         if tx is None and job.request.verb is Verb.COMMIT:
-            self.home.answers.settle(job)
+            self.home.responses.settle(job)
             return
         if tx is None:
             self.home.refuse(job, Reason.TRANSACTION_LOST, "no such transaction here")
@@ -154,7 +154,7 @@
             return
         unclear = event.sent and operation.kind is OperationKind.TX_COMMIT
         if unclear and event.reason is None:
-            self.home.answers.settle(job)
+            self.home.responses.settle(job)
             return
         job.may_have_run = operation.may_have_run_before
         if event.stale:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -4,7 +4,7 @@
 and expects the checker to name the promise that it breaks.
 """
 
-from gypsum_core.answers import Answers
+from gypsum_core.answers import ResponseHandler
 from gypsum_core.drain import Drain
 from gypsum_core.election import Election
 from gypsum_core.entry import Entry
@@ -72,15 +72,15 @@
 
 def retry_under_new_keys(patch):
     """A retry takes another key."""
-    plain = Answers.run_again
+    plain = ResponseHandler.requeue
 
-    def run_again(self, job):
+    def requeue(self, job):
         from dataclasses import replace
 
         job.request = replace(job.request, key=job.request.key + "-again")
         plain(self, job)
 
-    patch.setattr(Answers, "run_again", run_again)
+    patch.setattr(ResponseHandler, "requeue", requeue)
 
 
 def ignore_leaving(patch):
