--- a/bench/replicas.py
+++ b/bench/replicas.py
@@ -13,7 +13,7 @@
 
 from bench.report import Figure, percentile
 from gypsum_core.actions import Probe
-from gypsum_core.readdesk import Place, Placement, ReadDesk
+from gypsum_core.readdesk import Place, Placement, ReadPlacer
 from gypsum_core.records import Mode
 from gypsum_core.spec import KindSpec
 from tests.fakes.world import World, get, make_spec, put
@@ -98,12 +98,12 @@
         self.world.ask(
             self.host(),
             verb,
-            lambda a: self.wrote(person, a),
+            lambda a: self.record(person, a),
             caller=person.name,
             **fields,
         )
 
-    def wrote(self, person, answer):
+    def record(self, person, answer):
         """It is done."""
         person.busy = False
         if done(answer):
@@ -160,7 +160,7 @@
 def primary_after_write(self, job, claimed):
     """Baseline: whoever has written reads at the primary ever after."""
     placement = PLAIN_PLACE(self, job, claimed)
-    if placement.place is Place.REPLICA and job.caller in self.recent.last:
+    if placement.place is Place.REPLICA and job.caller in self.recent_writers.positions:
         return Placement(place=Place.PRIMARY)
     return placement
 
@@ -193,7 +193,7 @@
     probes: float
 
 
-PLAIN_PLACE = ReadDesk.place
+PLAIN_PLACE = ReadPlacer.place
 POLICIES = {
     "gypsumhitch": PLAIN_PLACE,
     "primary_after_write": primary_after_write,
@@ -204,9 +204,9 @@
 def surge(job):
     """One surge under one policy, in a process of its own."""
     policy, lags = job
-    ReadDesk.place = POLICIES[policy]
+    ReadPlacer.place = POLICIES[policy]
     run = Surge(lags=lags).run()
-    ReadDesk.place = PLAIN_PLACE
+    ReadPlacer.place = PLAIN_PLACE
     probes = sum(
         isinstance(action, Probe)
         for server in run.group.servers.values()
--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -84,9 +84,11 @@
             # instance while this process was stopped. Ask for current data: that
             # stays right however long it takes.
             job.request = replace(job.request, current=True)
-            self.home.placing.place_read(job)
+            self.home.read_scheduler.place_read(job)
             return
-        self.home.reads.counts.served(job, operation.upstream, self.home.view.primary)
+        self.home.read_placer.counts.record(
+            job, operation.upstream, self.home.view.primary
+        )
         self.home.finish(
             job,
             Answer(
@@ -105,8 +107,8 @@
         self.home.view.observed(
             sent_at=operation.sent_at, position=position, by=operation.upstream
         )
-        self.home.recent.wrote(job.caller, position)
-        self.home.recent.wrote((job.request.member, ""), position)
+        self.home.recent_writers.record(job.caller, position)
+        self.home.recent_writers.record((job.request.member, ""), position)
         if job.closed:
             return
         self.await_majority(job, operation, result, position)
@@ -204,7 +206,7 @@
             )
             return
         if job.is_read:
-            self.home.placing.place_read(job)
+            self.home.read_scheduler.place_read(job)
             return
         self.requeue(job)
 
--- a/packages/core/gypsum_core/claim.py
+++ b/packages/core/gypsum_core/claim.py
@@ -12,10 +12,10 @@
     home's, and that home's writes are missing from a table that looks complete.
     """
 
-    def __init__(self, *, ctx, view, recent):
+    def __init__(self, *, ctx, view, recent_writers):
         self.ctx = ctx
         self.view = view
-        self.recent = recent
+        self.recent_writers = recent_writers
         self.attempt = 0
         self.acknowledged = False
         self.in_progress = False
@@ -53,7 +53,7 @@
         """
         self.in_progress = False
         if self.is_named_in(status):
-            self.recent.reset(status.log_end)
+            self.recent_writers.reset(status.log_end)
             self.acknowledged = True
 
     def on_failure(self):
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -69,11 +69,11 @@
             if job.closed:
                 continue
             tried += 1
-            placement = self.home.reads.place(job, self.home.claim.held)
+            placement = self.home.read_placer.place(job, self.home.claim.held)
             if placement.place is not Place.REPLICA:
-                self.home.placing.place_read(job)
+                self.home.read_scheduler.place_read(job)
                 continue
-            upstream = self.home.reads.quickest(placement.upstreams)
+            upstream = self.home.read_placer.fastest(placement.upstreams)
             if upstream is None:
                 deferred.append(job)
                 continue
@@ -130,13 +130,13 @@
 
     def start_primary_read(self, job, primary):
         """Run a read at the primary, unless its proof has become stale."""
-        placement = self.home.reads.place(job, self.home.claim.held)
+        placement = self.home.read_placer.place(job, self.home.claim.held)
         if placement.place is Place.PRIMARY:
             job.primary_reason = placement.why
             self.start_read(job, primary)
             return
         if placement.place is Place.REPLICA:
-            upstream = self.home.reads.quickest(placement.upstreams)
+            upstream = self.home.read_placer.fastest(placement.upstreams)
             if upstream:
                 self.start_read(job, upstream)
                 return
@@ -228,7 +228,7 @@
             term=self.home.view.term,
             job=job,
             as_of=self.home.view.as_of(upstream),
-            floor=self.home.reads.floor(job) if job.is_read else None,
+            floor=self.home.read_placer.floor(job) if job.is_read else None,
             may_have_run_before=may_have_run_before,
         )
         self.home.loads[upstream].start()
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -16,8 +16,8 @@
 from gypsum_core.homeboard import describe_home
 from gypsum_core.jobs import Job, Operation, OperationKind
 from gypsum_core.limits import UpstreamLoad
-from gypsum_core.placing import Placing
-from gypsum_core.readdesk import ReadDesk
+from gypsum_core.placing import ReadScheduler
+from gypsum_core.readdesk import ReadPlacer
 from gypsum_core.recent import RecentWriters
 from gypsum_core.records import Answer, Outcome, Reason, Verb
 from gypsum_core.retry import RetryBudget
@@ -66,15 +66,15 @@
             marks=ctx.tuning.marks,
         )
         self.failover = Failover(ctx=ctx, database=spec.name, view=self.view, home=self)
-        self.recent = RecentWriters(limit=ctx.tuning.recent_writers)
+        self.recent_writers = RecentWriters(limit=ctx.tuning.recent_writers)
         self.loads = {
             item.id: UpstreamLoad(slots=item.slots) for item in spec.upstreams
         }
-        self.reads = ReadDesk(
+        self.read_placer = ReadPlacer(
             ctx=ctx,
             view=self.view,
             failover=self.failover,
-            recent=self.recent,
+            recent_writers=self.recent_writers,
             loads=self.loads,
             leaving=office.upstream_leaving,
         )
@@ -93,7 +93,9 @@
         self.jobs = {}
         self.operations = {}
         self.probing = {}
-        self.claim = WriteClaim(ctx=ctx, view=self.view, recent=self.recent)
+        self.claim = WriteClaim(
+            ctx=ctx, view=self.view, recent_writers=self.recent_writers
+        )
         self.round_at = float("-inf")
         self.round_set = False
         self.active = False
@@ -104,7 +106,7 @@
         self.dispatch = Dispatcher(home=self)
         self.watch = Watch(home=self)
         self.txdesk = TransactionDesk(home=self)
-        self.placing = Placing(home=self)
+        self.read_scheduler = ReadScheduler(home=self)
         self.responses = ResponseHandler(home=self)
 
     def activate(self):
@@ -191,7 +193,7 @@
         if request.verb in (Verb.TX_QUERY, Verb.COMMIT, Verb.ROLLBACK):
             self.txdesk.submit_to_transaction(job)
         elif job.is_read:
-            self.placing.place_read(job)
+            self.read_scheduler.place_read(job)
         else:
             self.admission.admit_primary(job)
         self.dispatch.start_queued()
@@ -229,7 +231,7 @@
             self.primary_changed()
         self.responses.confirm_writes()
         self.failover.check()
-        self.placing.recheck()
+        self.read_scheduler.place_waiting_reads()
         self.dispatch.start_queued()
 
     def primary_changed(self):
@@ -252,7 +254,7 @@
         elif timer.part == DEADLINE:
             self.deadline_over(timer.detail)
         elif timer.part == CATCH_UP:
-            self.placing.waited_enough(timer.detail)
+            self.read_scheduler.on_wait_expired(timer.detail)
         elif timer.detail == ROUND:
             self.round_set = False
             if self.waiting_reads or self.writes.unconfirmed:
--- a/packages/core/gypsum_core/homeboard.py
+++ b/packages/core/gypsum_core/homeboard.py
@@ -46,7 +46,7 @@
 
 def describe_home(home):
     """Describe a home and its upstreams."""
-    counts = home.reads.counts
+    counts = home.read_placer.counts
     return HomeBoard(
         database=home.spec.name,
         version=home.spec.version,
--- a/packages/core/gypsum_core/placing.py
+++ b/packages/core/gypsum_core/placing.py
@@ -1,10 +1,10 @@
 """Where a home puts a read now, and when it looks again."""
 
-from gypsum_core.readdesk import CATCHING_UP, Place
+from gypsum_core.readdesk import CATCH_UP_STEP, Place
 from gypsum_core.timers import CATCH_UP
 
 
-class Placing:
+class ReadScheduler:
     """Queues reads where they may lawfully run, or lets them wait for knowledge."""
 
     def __init__(self, *, home):
@@ -13,7 +13,7 @@
 
     def place_read(self, job):
         """Queue a read where it may lawfully run, or wait for knowledge."""
-        placement = self.home.reads.place(job, self.home.claim.held)
+        placement = self.home.read_placer.place(job, self.home.claim.held)
         if placement.place is Place.REPLICA:
             self.send_to_replica(job, placement.upstreams)
             return
@@ -22,14 +22,14 @@
             self.home.admission.admit_primary(job)
             return
         if placement.place is Place.CATCH_UP:
-            self.limit_wait(job)
+            self.start_wait_timer(job)
         job.step = f"wait_{placement.place}"
         self.home.waiting_reads.append(job)
 
     def send_to_replica(self, job, upstreams):
         """Start a read at a free replica, or queue it if there is time."""
         if not self.home.replica_queue and not self.home.deferred_reads:
-            upstream = self.home.reads.quickest(upstreams)
+            upstream = self.home.read_placer.fastest(upstreams)
             if upstream is not None:
                 self.home.dispatch.start_read(job, upstream)
                 return
@@ -44,7 +44,7 @@
         )
         self.home.admission.refuse_displaced(queue, member, slots, service_time)
 
-    def limit_wait(self, job):
+    def start_wait_timer(self, job):
         """Bound the wait for a replica that is about to cover a read."""
         job.waited_for_replica = True
         self.ctx.set_timer(
@@ -54,7 +54,7 @@
             detail=job.request.id,
         )
 
-    def recheck(self):
+    def place_waiting_reads(self):
         """Place the reads that waited for knowledge again."""
         waiting, self.home.waiting_reads = self.home.waiting_reads, []
         for job in waiting:
@@ -63,8 +63,8 @@
 
     def place_again(self, job):
         """Place a waiting read unless its bounded wait still runs."""
-        placement = self.home.reads.place(job, self.home.claim.held)
-        catching_up = job.step == CATCHING_UP and (placement.place is Place.PRIMARY)
+        placement = self.home.read_placer.place(job, self.home.claim.held)
+        catching_up = job.step == CATCH_UP_STEP and (placement.place is Place.PRIMARY)
         stuck = placement.place in (Place.ROUND, Place.STUCK)
         if catching_up or stuck:
             self.home.waiting_reads.append(job)
@@ -73,7 +73,7 @@
             return
         self.place_read(job)
 
-    def waited_enough(self, request_id):
+    def on_wait_expired(self, request_id):
         """The bounded wait for a replica is over."""
         job = self.home.jobs.get(request_id)
         if job is None or job not in self.home.waiting_reads:
--- a/packages/core/gypsum_core/readdesk.py
+++ b/packages/core/gypsum_core/readdesk.py
@@ -16,7 +16,7 @@
     STUCK = "stuck"
 
 
-CATCHING_UP = f"wait_{Place.CATCH_UP}"
+CATCH_UP_STEP = f"wait_{Place.CATCH_UP}"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -36,7 +36,7 @@
     primary: int = 0
     why: dict[str, int] = field(default_factory=dict)
 
-    def served(self, job, upstream, primary):
+    def record(self, job, upstream, primary):
         """Count one served read."""
         if upstream != primary:
             self.replica += 1
@@ -46,19 +46,19 @@
         self.why[why] = self.why.get(why, 0) + 1
 
 
-class ReadDesk:
+class ReadPlacer:
     """Places reads by what the group view proves."""
 
-    def __init__(self, *, ctx, view, failover, recent, loads, leaving):
+    def __init__(self, *, ctx, view, failover, recent_writers, loads, leaving):
         self.ctx = ctx
         self.view = view
         self.failover = failover
-        self.recent = recent
+        self.recent_writers = recent_writers
         self.loads = loads
         self.leaving = leaving
         self.counts = ReadCounts()
 
-    def vouched(self, job, claimed):
+    def recent_writes_known(self, job, claimed):
         """Tell whether the recent writers' table is complete for this read.
 
         True when, at some time after the read arrived, the group's claim still
@@ -70,9 +70,9 @@
         """The position that the answer must show."""
         if job.request.session is not None:
             return job.request.session
-        return self.recent.needs(job.caller)
+        return self.recent_writers.required_position(job.caller)
 
-    def fresh(self, job, upstream):
+    def is_fresh(self, job, upstream):
         """Tell whether an upstream's data is proved to be young enough."""
         as_of = self.view.as_of(upstream)
         if as_of >= job.arrived:
@@ -84,19 +84,19 @@
 
     def place(self, job, claimed):
         """Decide where a read goes now."""
-        needs_vouching = job.request.session is None
-        if needs_vouching and not self.vouched(job, claimed):
+        needs_recent_writes = job.request.session is None
+        if needs_recent_writes and not self.recent_writes_known(job, claimed):
             return Placement(place=Place.ROUND)
         floor = self.floor(job)
-        live = self.live_replicas()
-        lawful = tuple(
+        usable = self.usable_replicas()
+        eligible = tuple(
             name
-            for name in live
-            if self.view.status(name).visible.covers(floor) and self.fresh(job, name)
+            for name in usable
+            if self.view.status(name).visible.covers(floor) and self.is_fresh(job, name)
         )
-        if lawful:
-            return Placement(place=Place.REPLICA, upstreams=lawful)
-        if self.worth_waiting(job, live, floor):
+        if eligible:
+            return Placement(place=Place.REPLICA, upstreams=eligible)
+        if self.replica_catches_up_soon(job, usable, floor):
             return Placement(place=Place.CATCH_UP)
         return self.place_primary(job, floor)
 
@@ -106,11 +106,11 @@
         primary = self.view.primary
         if primary is None or self.view.term < floor.term:
             return Placement(place=Place.STUCK, why=Reason.NO_PRIMARY)
-        if not self.fresh(job, primary):
+        if not self.is_fresh(job, primary):
             return Placement(place=Place.ROUND, why=why)
         return Placement(place=Place.PRIMARY, why=why)
 
-    def live_replicas(self):
+    def usable_replicas(self):
         """Replicas that answer, follow this term and do not leave."""
         return [
             name
@@ -122,7 +122,7 @@
             and not self.leaving(name)
         ]
 
-    def worth_waiting(self, job, live, floor):
+    def replica_catches_up_soon(self, job, usable, floor):
         """Tell whether a replica's trend says that it covers this read soon.
 
         What was written at t shows at a replica of lag l at about t + l. Without
@@ -135,10 +135,10 @@
         if job.request.deadline - self.ctx.now < 4 * wait:
             return False
         written_at = self.view.marks.earliest_at_least(floor.index, self.ctx.now)
-        ready = (written_at + self.view.lag(name) for name in live)
+        ready = (written_at + self.view.lag(name) for name in usable)
         return min(ready, default=float("inf")) <= self.ctx.now + wait
 
-    def quickest(self, upstreams):
+    def fastest(self, upstreams):
         """The replica with a free slot and the least expected delay, or None."""
         free = [name for name in upstreams if self.loads[name].free_slots]
         return min(
--- a/packages/core/gypsum_core/recent.py
+++ b/packages/core/gypsum_core/recent.py
@@ -17,21 +17,21 @@
     def __init__(self, *, limit):
         self.limit = limit
         self.floor = Position(term=0, index=0)
-        self.last = OrderedDict()
+        self.positions = OrderedDict()
 
     def reset(self, floor):
         """Start anew: everything up to `floor` may be anyone's write."""
         self.floor = max(self.floor, floor)
-        self.last.clear()
+        self.positions.clear()
 
-    def wrote(self, caller, position):
+    def record(self, caller, position):
         """Note a caller's write."""
-        previous = self.last.pop(caller, position)
-        self.last[caller] = max(previous, position)
-        if len(self.last) > self.limit:
-            _, cut = self.last.popitem(last=False)
-            self.floor = max(self.floor, cut)
+        previous = self.positions.pop(caller, position)
+        self.positions[caller] = max(previous, position)
+        if len(self.positions) > self.limit:
+            _, evicted = self.positions.popitem(last=False)
+            self.floor = max(self.floor, evicted)
 
-    def needs(self, caller):
+    def required_position(self, caller):
         """The position that the caller's next read must cover."""
-        return self.last.get(caller, self.floor)
+        return self.positions.get(caller, self.floor)
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -4,7 +4,7 @@
 from gypsum_core.actions import DropConnections, Probe
 from gypsum_core.jobs import Operation, OperationKind
 from gypsum_core.messages import PrimaryHeard
-from gypsum_core.readdesk import CATCHING_UP
+from gypsum_core.readdesk import CATCH_UP_STEP
 from gypsum_core.timers import PART, POLL, ROUND
 
 REFRESH_PART = 0.25
@@ -100,7 +100,7 @@
 
     def round_gap(self):
         """Seconds between two rounds: short where callers wait for knowledge."""
-        if any(job.step != CATCHING_UP for job in self.home.waiting_reads):
+        if any(job.step != CATCH_UP_STEP for job in self.home.waiting_reads):
             return ROUND_GAP
         gap = CATCH_UP_GAP if self.home.waiting_reads else float("inf")
         if self.home.writes.unconfirmed:
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -12,15 +12,17 @@
 from gypsum_core.home import Home
 from gypsum_core.manifests import Manifests
 from gypsum_core.node import Node
-from gypsum_core.readdesk import ReadDesk
+from gypsum_core.readdesk import ReadPlacer
 from gypsum_core.records import Outcome
 
 
 def forget_sessions(patch):
     """Reads ignore what the caller has written."""
-    patch.setattr(ReadDesk, "vouched", lambda self, job, claimed: True)
+    patch.setattr(ReadPlacer, "recent_writes_known", lambda self, job, claimed: True)
     patch.setattr(
-        ReadDesk, "floor", lambda self, job: type(self.recent.floor)(term=0, index=0)
+        ReadPlacer,
+        "floor",
+        lambda self, job: type(self.recent_writers.floor)(term=0, index=0),
     )
 
 
--- a/tests/test_found_failures.py
+++ b/tests/test_found_failures.py
@@ -96,14 +96,14 @@
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
     view = GroupView(upstreams=("u1",), majority=1, marks=10)
     recent = RecentWriters(limit=10)
-    recent.wrote(("north", ""), Position(term=1, index=5))
-    claim = WriteClaim(ctx=ctx, view=view, recent=recent)
+    recent.record(("north", ""), Position(term=1, index=5))
+    claim = WriteClaim(ctx=ctx, view=view, recent_writers=recent)
     holder = claim.begin()
     view.learn(claim_status(holder, 9), sent_at=1.0)
     assert not claim.held
     claim.on_answer(claim_status(holder, 9))
     assert claim.held
-    assert recent.needs(("north", "")) == Position(term=1, index=9)
+    assert recent.required_position(("north", "")) == Position(term=1, index=9)
 
 
 def test_late_claim_of_an_earlier_attempt_is_not_ours():
@@ -115,7 +115,7 @@
     """
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
     view = GroupView(upstreams=("u1",), majority=1, marks=10)
-    claim = WriteClaim(ctx=ctx, view=view, recent=RecentWriters(limit=10))
+    claim = WriteClaim(ctx=ctx, view=view, recent_writers=RecentWriters(limit=10))
     first = claim.begin()
     claim.on_failure()
     claim.on_answer(claim_status(claim.begin(), 3))
