--- a/packages/core/gypsum_core/admission.py
+++ b/packages/core/gypsum_core/admission.py
@@ -17,7 +17,7 @@
 
     def admit_primary(self, job):
         """Queue work for the primary, or refuse it at once."""
-        if job.is_write and self.home.writes.stalled():
+        if job.is_write and self.home.unconfirmed_writes.is_stalled():
             self.home.refuse(
                 job,
                 Reason.REPLICAS_BEHIND,
@@ -94,7 +94,11 @@
         next one has expired meanwhile as well.
         """
         left = job.request.deadline - self.ctx.now
-        needed = load.service_time if job.is_read else self.home.writes.whole_time
+        needed = (
+            load.service_time
+            if job.is_read
+            else self.home.unconfirmed_writes.mean_write_time
+        )
         if job.may_have_run or job.request.tx or left >= SERVICE_TIME_MARGIN * needed:
             return False
         self.home.refuse(
--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -7,7 +7,7 @@
 from gypsum_core.jobs import SLOT_OPERATIONS, OperationKind
 from gypsum_core.limits import DEFAULT_RETRY_AFTER
 from gypsum_core.records import Answer, Outcome, Reason, Verb
-from gypsum_core.writedesk import answer_done
+from gypsum_core.writedesk import done_answer
 
 
 class ResponseHandler:
@@ -123,14 +123,14 @@
         if position.term != operation.term:
             self.requeue(job)
             return
-        self.home.writes.add(
+        self.home.unconfirmed_writes.add(
             job, result=result, position=position, served_by=operation.upstream
         )
         self.confirm_writes()
 
     def confirm_writes(self):
         """Answer the writes that a majority holds by now."""
-        for job in self.home.writes.take_confirmed():
+        for job in self.home.unconfirmed_writes.take_confirmed():
             if job.closed:
                 continue
             if job.settling and job.result is None:
@@ -138,7 +138,7 @@
                     job, Reason.CANCELLED, "it was not run and never will be"
                 )
                 continue
-            self.home.finish(job, answer_done(job))
+            self.home.finish(job, done_answer(job))
 
     def on_settled(self, operation, event):
         """The ledger decided a key; the decision needs a majority as well."""
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -26,7 +26,7 @@
         self.redirect_if_vetoed()
         self.start_replica_reads()
         self.start_primary_work()
-        if self.home.waiting_reads or self.home.writes.unconfirmed:
+        if self.home.waiting_reads or self.home.unconfirmed_writes.jobs:
             self.home.watch.ensure_round()
 
     def redirect_if_vetoed(self):
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -25,7 +25,7 @@
 from gypsum_core.transactions import Transactions
 from gypsum_core.txdesk import TransactionDesk
 from gypsum_core.watch import Watch
-from gypsum_core.writedesk import WriteDesk
+from gypsum_core.writedesk import UnconfirmedWrites
 
 WARM_SPARE = 2
 KIND_BY_ACTION = {
@@ -78,7 +78,7 @@
             loads=self.loads,
             leaving=office.upstream_leaving,
         )
-        self.writes = WriteDesk(ctx=ctx, view=self.view)
+        self.unconfirmed_writes = UnconfirmedWrites(ctx=ctx, view=self.view)
         self.transactions = Transactions()
         self.replica_queue = FairQueue(weights=spec.weight_by_member)
         self.primary_queue = FairQueue(weights=spec.weight_by_member)
@@ -243,7 +243,7 @@
             self.transactions.drop(tx.tx)
             self.txdesk.abort(tx)
         if self.view.primary is not None:
-            for job in self.writes.take_stranded():
+            for job in self.unconfirmed_writes.take_outdated():
                 self.responses.requeue(job)
 
     def on_timer(self, timer):
@@ -257,7 +257,7 @@
             self.read_scheduler.on_wait_expired(timer.detail)
         elif timer.detail == ROUND:
             self.round_set = False
-            if self.waiting_reads or self.writes.unconfirmed:
+            if self.waiting_reads or self.unconfirmed_writes.jobs:
                 self.watch.ensure_round()
         elif timer.detail == POLL:
             self.watch.poll()
--- a/packages/core/gypsum_core/homeboard.py
+++ b/packages/core/gypsum_core/homeboard.py
@@ -60,7 +60,7 @@
         queued_replica=len(home.replica_queue) + len(home.deferred_reads),
         queued_primary=len(home.primary_queue) + len(home.transaction_jobs),
         awaiting=len(home.waiting_reads),
-        unconfirmed=len(home.writes.unconfirmed),
+        unconfirmed=len(home.unconfirmed_writes.jobs),
         transactions=len(home.transactions),
         reads_replica=counts.replica,
         reads_primary=counts.primary,
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -103,8 +103,8 @@
         if any(job.step != CATCH_UP_STEP for job in self.home.waiting_reads):
             return ROUND_GAP
         gap = CATCH_UP_GAP if self.home.waiting_reads else float("inf")
-        if self.home.writes.unconfirmed:
-            gap = min(gap, self.home.writes.round_gap())
+        if self.home.unconfirmed_writes.jobs:
+            gap = min(gap, self.home.unconfirmed_writes.round_interval())
         return gap
 
     def claim_group(self):
--- a/packages/core/gypsum_core/writedesk.py
+++ b/packages/core/gypsum_core/writedesk.py
@@ -2,16 +2,16 @@
 
 from gypsum_core.records import Answer, Outcome
 
-FASTEST_ROUND = 0.004
-SLOWEST_ROUND = 0.05
-PATIENCE = 8.0
+MIN_ROUND_INTERVAL = 0.004
+MAX_ROUND_INTERVAL = 0.05
+ROUNDS_PER_WAIT = 8.0
 SMOOTHING = 0.1
 
 
-class WriteDesk:
+class UnconfirmedWrites:
     """Holds committed writes until a majority of the group has them.
 
-    `whole_time` is how many seconds a write takes from its sending to that point.
+    `mean_write_time` is how many seconds a write takes from its sending to that point.
 
     What goes wrong without it: a primary acknowledges, dies, and the replica
     promoted in its place never had the write. Or a primary that was replaced
@@ -21,8 +21,8 @@
     def __init__(self, *, ctx, view):
         self.ctx = ctx
         self.view = view
-        self.unconfirmed = []
-        self.whole_time = 0.0
+        self.jobs = []
+        self.mean_write_time = 0.0
 
     def add(self, job, *, result, position, served_by):
         """A write committed at `position`; it is not done yet."""
@@ -32,7 +32,7 @@
         job.step = "confirm"
         job.may_have_run = True
         job.committed_at = self.ctx.now
-        self.unconfirmed.append(job)
+        self.jobs.append(job)
 
     def oldest_wait(self):
         """Seconds that the oldest write has been waiting for confirmation.
@@ -40,48 +40,51 @@
         Counted from its commit: the time it stood in the queue says nothing about
         the replicas.
         """
-        if not self.unconfirmed:
+        if not self.jobs:
             return 0.0
-        return self.ctx.now - self.unconfirmed[0].committed_at
+        return self.ctx.now - self.jobs[0].committed_at
 
-    def stalled(self):
+    def is_stalled(self):
         """Tell whether no replica keeps up with the primary."""
         return self.oldest_wait() > self.ctx.tuning.confirm_stalled
 
-    def round_gap(self):
+    def round_interval(self):
         """Seconds until the next look at the replicas' log ends."""
-        return min(SLOWEST_ROUND, max(FASTEST_ROUND, self.oldest_wait() / PATIENCE))
+        return min(
+            MAX_ROUND_INTERVAL,
+            max(MIN_ROUND_INTERVAL, self.oldest_wait() / ROUNDS_PER_WAIT),
+        )
 
     def take_confirmed(self):
         """Remove and return the writes that a majority holds now."""
-        self.unconfirmed = [job for job in self.unconfirmed if not job.closed]
-        done = [
+        self.jobs = [job for job in self.jobs if not job.closed]
+        confirmed = [
             job
-            for job in self.unconfirmed
+            for job in self.jobs
             if self.view.confirmed(job.position, by=job.served_by)
         ]
-        for job in done:
+        for job in confirmed:
             took = self.ctx.now - job.started_at
-            self.whole_time += SMOOTHING * (took - self.whole_time)
-        if done:
-            self.unconfirmed = [job for job in self.unconfirmed if job not in done]
-        return done
+            self.mean_write_time += SMOOTHING * (took - self.mean_write_time)
+        if confirmed:
+            self.jobs = [job for job in self.jobs if job not in confirmed]
+        return confirmed
 
-    def take_stranded(self):
+    def take_outdated(self):
         """Remove and return the writes of a term that is no longer in force.
 
         Their outcome is looked up in the ledger at the new primary.
         """
-        stranded = [
+        outdated = [
             job
-            for job in self.unconfirmed
+            for job in self.jobs
             if job.position.term != self.view.term or job.served_by != self.view.primary
         ]
-        self.unconfirmed = [job for job in self.unconfirmed if job not in stranded]
-        return stranded
+        self.jobs = [job for job in self.jobs if job not in outdated]
+        return outdated
 
 
-def answer_done(job):
+def done_answer(job):
     """The answer to a confirmed write, commit or settled outcome."""
     return Answer(
         request=job.request.id,
