--- a/bench/replicas.py
+++ b/bench/replicas.py
@@ -98,12 +98,12 @@
         self.world.ask(
             self.host(),
             verb,
-            lambda a: self.record(person, a),
+            lambda a: self.wrote(person, a),
             caller=person.name,
             **fields,
         )
 
-    def record(self, person, answer):
+    def wrote(self, person, answer):
         """It is done."""
         person.busy = False
         if done(answer):
