--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -65,12 +65,12 @@
         if operation.kind is OperationKind.READ:
             self.answer_read(job, operation, event.result)
         elif operation.kind is OperationKind.TX_BEGIN:
-            self.home.txdesk.opened(job, operation)
+            self.home.transaction_manager.on_opened(job, operation)
         elif operation.kind is OperationKind.TX_RUN:
-            self.home.txdesk.ran_in_transaction(job, event.result)
+            self.home.transaction_manager.on_statement_done(job, event.result)
         else:
             if operation.kind is OperationKind.TX_COMMIT:
-                self.home.transactions.drop(job.request.tx)
+                self.home.transactions.remove(job.request.tx)
             self.on_committed(job, operation, event.result, event.position)
 
     def answer_read(self, job, operation, result):
@@ -166,7 +166,7 @@
         elif not event.stale and not event.claim_lost:
             self.home.watch.doubt(operation.upstream)
         if operation.kind in (OperationKind.TX_RUN, OperationKind.TX_COMMIT):
-            self.home.txdesk.transaction_failed(operation, event)
+            self.home.transaction_manager.on_failed(operation, event)
             return
         if job.closed:
             return
@@ -217,7 +217,7 @@
         with its connection, so only the ledger can tell what became of it.
         """
         if job.request.verb is Verb.COMMIT:
-            self.home.transactions.drop(job.request.tx)
+            self.home.transactions.remove(job.request.tx)
             self.settle(job)
             return
         self.home.admission.enqueue_primary(job, first=True)
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -108,7 +108,7 @@
             if job is None:
                 return
             if job.closed:
-                self.home.txdesk.next_in_transaction(job.request.tx)
+                self.home.transaction_manager.start_next(job.request.tx)
                 continue
             if self.home.admission.refuse_if_late(job, load):
                 continue
@@ -174,7 +174,7 @@
                 job, actions.Settle, OperationKind.SETTLE, primary, row=ledger_row(job)
             )
         elif request.verb is Verb.BEGIN:
-            self.home.txdesk.begin(job, primary)
+            self.home.transaction_manager.begin(job, primary)
         elif request.verb is Verb.TX_QUERY:
             self.start(
                 job,
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -23,7 +23,7 @@
 from gypsum_core.retry import RetryBudget
 from gypsum_core.timers import CATCH_UP, DEADLINE, POLL, ROUND
 from gypsum_core.transactions import Transactions
-from gypsum_core.txdesk import TransactionDesk
+from gypsum_core.txdesk import TransactionManager
 from gypsum_core.watch import Watch
 from gypsum_core.writedesk import UnconfirmedWrites
 
@@ -105,7 +105,7 @@
         self.admission = Admission(home=self)
         self.dispatch = Dispatcher(home=self)
         self.watch = Watch(home=self)
-        self.txdesk = TransactionDesk(home=self)
+        self.transaction_manager = TransactionManager(home=self)
         self.read_scheduler = ReadScheduler(home=self)
         self.responses = ResponseHandler(home=self)
 
@@ -191,7 +191,7 @@
             detail=request.id,
         )
         if request.verb in (Verb.TX_QUERY, Verb.COMMIT, Verb.ROLLBACK):
-            self.txdesk.submit_to_transaction(job)
+            self.transaction_manager.submit(job)
         elif job.is_read:
             self.read_scheduler.place_read(job)
         else:
@@ -239,9 +239,9 @@
         for operation in list(self.operations.values()):
             if operation.job and self.dispatch.is_outdated(operation):
                 self.dispatch.abandon_and_retry(operation)
-        for tx in self.transactions.strangers(self.view.primary, self.view.term):
-            self.transactions.drop(tx.tx)
-            self.txdesk.abort(tx)
+        for tx in self.transactions.opened_elsewhere(self.view.primary, self.view.term):
+            self.transactions.remove(tx.tx)
+            self.transaction_manager.abort(tx)
         if self.view.primary is not None:
             for job in self.unconfirmed_writes.take_outdated():
                 self.responses.requeue(job)
@@ -269,7 +269,7 @@
             return
         running = job.op in self.operations
         if running:
-            self.txdesk.abort_transaction_of(job)
+            self.transaction_manager.abort_for(job)
         self.refuse(
             job,
             Reason.DEADLINE,
--- a/packages/core/gypsum_core/node.py
+++ b/packages/core/gypsum_core/node.py
@@ -355,7 +355,7 @@
     def end_transactions(self):
         """Roll back the transactions that did not end in time."""
         for item in self.homes.values():
-            item.txdesk.end_transactions()
+            item.transaction_manager.abort_all()
 
     def busy(self):
         """Tell whether anything is still to be answered."""
--- a/packages/core/gypsum_core/transactions.py
+++ b/packages/core/gypsum_core/transactions.py
@@ -14,7 +14,7 @@
     member: str
     upstream: str
     term: int
-    touched: float
+    last_used_at: float
     busy: bool = False
     waiting: deque[Job] = field(default_factory=deque)
 
@@ -43,17 +43,19 @@
         tx = self.open.get(name)
         return tx if tx and tx.member == member else None
 
-    def drop(self, name):
+    def remove(self, name):
         """Forget a transaction that ended; None if there was none."""
         return self.open.pop(name, None)
 
     def idle(self, now, limit):
         """Transactions whose caller has said nothing for `limit` seconds."""
         return [
-            tx for tx in self.open.values() if not tx.busy and now - tx.touched >= limit
+            tx
+            for tx in self.open.values()
+            if not tx.busy and now - tx.last_used_at >= limit
         ]
 
-    def strangers(self, primary, term):
+    def opened_elsewhere(self, primary, term):
         """Transactions that were opened at another primary or term."""
         return [
             tx for tx in self.open.values() if tx.upstream != primary or tx.term != term
--- a/packages/core/gypsum_core/txdesk.py
+++ b/packages/core/gypsum_core/txdesk.py
@@ -10,14 +10,14 @@
 from gypsum_core.transactions import Transaction
 
 
-class TransactionDesk:
+class TransactionManager:
     """Keeps each transaction on its own connection and ends it for good."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
-    def submit_to_transaction(self, job):
+    def submit(self, job):
         """Hand a statement, commit or rollback to its transaction."""
         tx = self.home.transactions.find(job.request.tx, job.request.member)
         if tx is None and job.request.verb is Verb.COMMIT:
@@ -28,7 +28,7 @@
             return
         tx.waiting.append(job)
         if not tx.busy:
-            self.next_in_transaction(tx.tx)
+            self.start_next(tx.tx)
 
     def begin(self, job, primary):
         """Open a transaction, unless too many hold connections already."""
@@ -50,7 +50,7 @@
 
     def roll_back(self, job):
         """End a transaction without its effects."""
-        tx = self.home.transactions.drop(job.request.tx)
+        tx = self.home.transactions.remove(job.request.tx)
         if tx:
             self.abort(tx)
         self.home.finish(
@@ -77,14 +77,14 @@
             self.home.transaction_jobs.remove(job)
             self.home.refuse(job, Reason.TRANSACTION_LOST, "the transaction has ended")
 
-    def opened(self, job, operation):
+    def on_opened(self, job, operation):
         """A transaction is open; if nobody waits for it any more, end it."""
         tx = Transaction(
             tx=job.request.tx,
             member=job.request.member,
             upstream=operation.upstream,
             term=operation.term,
-            touched=self.ctx.now,
+            last_used_at=self.ctx.now,
         )
         if job.closed:
             self.abort(tx)
@@ -101,7 +101,7 @@
             ),
         )
 
-    def ran_in_transaction(self, job, result):
+    def on_statement_done(self, job, result):
         """A statement of a transaction ran; the next one may go."""
         self.home.finish(
             job,
@@ -112,15 +112,15 @@
                 tx=job.request.tx,
             ),
         )
-        self.next_in_transaction(job.request.tx)
+        self.start_next(job.request.tx)
 
-    def next_in_transaction(self, name):
+    def start_next(self, name):
         """Start a transaction's next waiting statement."""
         tx = self.home.transactions.open.get(name)
         if tx is None:
             return
         tx.busy = False
-        tx.touched = self.ctx.now
+        tx.last_used_at = self.ctx.now
         while tx.waiting:
             job = tx.waiting.popleft()
             if job.closed:
@@ -132,7 +132,7 @@
             self.home.transaction_jobs.append(job)
             return
 
-    def transaction_failed(self, operation, event):
+    def on_failed(self, operation, event):
         """A statement or commit failed inside a transaction."""
         job = operation.job
         name = job.request.tx
@@ -142,13 +142,13 @@
                 self.home.refuse(
                     job, event.reason, event.detail, peer=operation.upstream
                 )
-            self.next_in_transaction(name)
+            self.start_next(name)
             return
         if tx and event.claim_lost and not job.closed:
-            self.commit_again(job, operation)
+            self.retry_commit(job, operation)
             return
         if tx:
-            self.home.transactions.drop(name)
+            self.home.transactions.remove(name)
             self.abort(tx)
         if job.closed:
             return
@@ -162,7 +162,7 @@
         reason = event.reason or Reason.TRANSACTION_LOST
         self.home.refuse(job, reason, event.detail, peer=operation.upstream)
 
-    def commit_again(self, job, operation):
+    def retry_commit(self, job, operation):
         """Claim the group back and repeat a commit; its transaction is still open.
 
         What goes wrong otherwise: another home takes over, in a drain or because
@@ -172,21 +172,21 @@
         self.home.watch.lost_claim(operation.upstream)
         self.home.transaction_jobs.append(job)
 
-    def abort_transaction_of(self, job):
+    def abort_for(self, job):
         """End the transaction whose statement outlived its caller's deadline."""
-        tx = self.home.transactions.drop(job.request.tx)
+        tx = self.home.transactions.remove(job.request.tx)
         if tx:
             self.abort(tx)
 
-    def end_idle_transactions(self):
+    def abort_idle(self):
         """Roll back the transactions of callers that have gone."""
         for tx in self.home.transactions.idle(self.ctx.now, self.ctx.tuning.tx_idle):
-            self.home.transactions.drop(tx.tx)
+            self.home.transactions.remove(tx.tx)
             self.ctx.log(PART, f"{self.home.spec.name}: rolled back idle transaction")
             self.abort(tx)
 
-    def end_transactions(self):
+    def abort_all(self):
         """Roll back all open transactions."""
         for tx in list(self.home.transactions.open.values()):
-            self.home.transactions.drop(tx.tx)
+            self.home.transactions.remove(tx.tx)
             self.abort(tx)
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -29,7 +29,7 @@
         for upstream in self.home.view.upstreams:
             if self.poll_due(upstream):
                 self.probe(upstream)
-        self.home.txdesk.end_idle_transactions()
+        self.home.transaction_manager.abort_idle()
         self.home.failover.check()
         self.home.dispatch.abandon_silent_reads()
         self.home.dispatch.start_queued()
