--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/answers.py
@@ -51,7 +51,7 @@
             self.home.claim.on_answer(status)
         if operation.kind is OperationKind.PROBE and operation.fresh:
             self.home.watch.found_silent_connections(operation.upstream)
-        self.home.learn(status, operation.sent_at)
+        self.home.apply_status(status, operation.sent_at)
         if operation.kind is OperationKind.FENCE:
             self.home.failover.fenced(status, operation.term)
         if operation.kind is OperationKind.PROMOTE:
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -50,7 +50,7 @@
                 )
                 continue
             self.home.close(job)
-            self.home.office.redirect(
+            self.home.node.redirect(
                 job.origin, job.request.id, self.home.failover.deputy
             )
 
--- a/packages/core/gypsum_core/entry.py
+++ b/packages/core/gypsum_core/entry.py
@@ -10,35 +10,35 @@
 
 PART = "entry"
 CHECK_INTERVAL = 0.1
-GRACE = 0.05
+DEADLINE_GRACE = 0.05
 IN_TRANSACTION = frozenset({Verb.TX_QUERY, Verb.COMMIT, Verb.ROLLBACK})
 
 
 @dataclass(slots=True, kw_only=True)
-class Flight:
+class PendingRequest:
     """A request on its way. `sent` says that a home may have worked on it."""
 
     request: Request
-    since: float
+    received_at: float
     max_age_ms: float = float("inf")
     target: str = ""
     sent: bool = False
     tried: set[str] = field(default_factory=set)
 
 
-class Entry:
+class RequestRouter:
     """Forwards requests to homes, retries where that is safe, answers callers."""
 
-    def __init__(self, *, ctx, peers, office):
+    def __init__(self, *, ctx, peers, node):
         self.ctx = ctx
         self.peers = peers
-        self.office = office
-        self.flights = {}
-        self.checking = False
+        self.node = node
+        self.pending = {}
+        self.check_scheduled = False
 
     def submit(self, request):
         """Take a caller's request."""
-        spec = self.office.spec(request.database)
+        spec = self.node.spec(request.database)
         if spec is None:
             self.reject(request, f"unknown database {request.database!r}")
             return
@@ -49,31 +49,35 @@
         if request.deadline <= self.ctx.now:
             self.refuse(request, Reason.DEADLINE, "the deadline was over on arrival")
             return
-        self.flights[request.id] = Flight(
+        self.pending[request.id] = PendingRequest(
             request=request,
-            since=self.ctx.now,
-            max_age_ms=max_age_of(spec, request),
+            received_at=self.ctx.now,
+            max_age_ms=max_age_for(spec, request),
         )
         self.ctx.set_timer(
-            request.deadline + GRACE - self.ctx.now, part=PART, detail=request.id
+            request.deadline + DEADLINE_GRACE - self.ctx.now,
+            part=PART,
+            detail=request.id,
         )
-        self.forward(self.flights[request.id])
+        self.forward(self.pending[request.id])
 
     def reject(self, request, problem):
         """Answer a request that is wrong in itself."""
         self.refuse(request, Reason.BAD_REQUEST, problem)
 
-    def refuse(self, request, reason, detail, *, retry_after=0.0, unclear=False):
+    def refuse(
+        self, request, reason, detail, *, retry_after=0.0, outcome_unknown=False
+    ):
         """Answer that a request was not run, or that this is not known.
 
         Who asks for an outcome and does not learn it knows nothing: "not run" would
         speak of the write that the key stands for.
         """
-        unclear = unclear or request.verb is Verb.OUTCOME
+        outcome_unknown = outcome_unknown or request.verb is Verb.OUTCOME
         self.reply(
             Answer(
                 request=request.id,
-                outcome=Outcome.UNKNOWN if unclear else Outcome.NOT_RUN,
+                outcome=Outcome.UNKNOWN if outcome_unknown else Outcome.NOT_RUN,
                 reason=reason,
                 detail=detail,
                 step=PART,
@@ -86,98 +90,102 @@
 
     def reply(self, answer):
         """Give the caller its one answer."""
-        self.flights.pop(answer.request, None)
+        self.pending.pop(answer.request, None)
         self.ctx.emit(Reply(answer=answer))
 
-    def gone(self, request_id):
+    def on_caller_gone(self, request_id):
         """The caller hung up: nobody waits for the answer."""
-        self.flights.pop(request_id, None)
+        self.pending.pop(request_id, None)
 
     # Routing
 
-    def forward(self, flight, to=""):
+    def forward(self, pending, to=""):
         """Send a request to its home: the first usable daemon of the order."""
-        request = flight.request
+        request = pending.request
         if request.verb in IN_TRANSACTION:
-            self.forward_in_transaction(flight)
+            self.forward_in_transaction(pending)
             return
-        target = to or self.next_target(flight)
+        target = to or self.next_target(pending)
         if not target:
-            self.drop(flight, Reason.NO_HOME, "no daemon for the database is reachable")
+            self.fail(
+                pending, Reason.NO_HOME, "no daemon for the database is reachable"
+            )
             return
-        self.dispatch(flight, target)
+        self.send_to_home(pending, target)
 
-    def next_target(self, flight):
+    def next_target(self, pending):
         """The first usable daemon of the order that was not tried yet.
 
         When none is, the first that was not tried: a link that broke a moment ago
         may be open again, and nothing is lost by asking.
         """
-        order = self.office.order(flight.request.database)
-        fresh = [name for name in order if name not in flight.tried]
+        order = self.node.order(pending.request.database)
+        untried = [name for name in order if name not in pending.tried]
         if self.ctx.draining:
-            fresh = [name for name in fresh if name != self.ctx.daemon]
-        for daemon in fresh:
+            untried = [name for name in untried if name != self.ctx.daemon]
+        for daemon in untried:
             if daemon == self.ctx.daemon or self.peers.usable(daemon):
                 return daemon
-        return fresh[0] if fresh else ""
+        return untried[0] if untried else ""
 
-    def forward_in_transaction(self, flight):
+    def forward_in_transaction(self, pending):
         """Send a statement to the daemon that holds its transaction's connection."""
-        owner = flight.request.tx.partition(".")[0]
-        known = owner == self.ctx.daemon or self.office.is_daemon(owner)
-        if owner not in flight.tried and known:
-            self.dispatch(flight, owner)
+        owner = pending.request.tx.partition(".")[0]
+        known = owner == self.ctx.daemon or self.node.is_daemon(owner)
+        if owner not in pending.tried and known:
+            self.send_to_home(pending, owner)
             return
-        if flight.request.verb is Verb.COMMIT:
+        if pending.request.verb is Verb.COMMIT:
             # The commit may have taken effect before its daemon went: only the
             # ledger knows. Any home can ask it.
-            flight.request = replace(flight.request, verb=Verb.OUTCOME, tx="", kind="")
-            flight.tried.clear()
-            self.forward(flight)
+            pending.request = replace(
+                pending.request, verb=Verb.OUTCOME, tx="", kind=""
+            )
+            pending.tried.clear()
+            self.forward(pending)
             return
         self.refuse(
-            flight.request, Reason.TRANSACTION_LOST, "its daemon is not reachable"
+            pending.request, Reason.TRANSACTION_LOST, "its daemon is not reachable"
         )
 
-    def dispatch(self, flight, target):
+    def send_to_home(self, pending, target):
         """Hand a request to a home, here or on another daemon."""
-        flight.target = target
-        flight.tried.add(target)
+        pending.target = target
+        pending.tried.add(target)
         if target == self.ctx.daemon:
-            flight.sent = True
-            self.office.serve(flight.request, self.ctx.daemon)
+            pending.sent = True
+            self.node.serve(pending.request, self.ctx.daemon)
             return
-        flight.sent = True
-        left = flight.request.deadline - self.ctx.now
-        self.ctx.send(target, Forward(request=replace(flight.request, deadline=left)))
-        self.watch()
+        pending.sent = True
+        left = pending.request.deadline - self.ctx.now
+        self.ctx.send(target, Forward(request=replace(pending.request, deadline=left)))
+        self.schedule_check()
 
-    def drop(self, flight, reason, detail):
+    def fail(self, pending, reason, detail):
         """Give up on a request that no home can take."""
         self.refuse(
-            flight.request,
+            pending.request,
             reason,
             detail,
             retry_after=DEFAULT_RETRY_AFTER,
-            unclear=flight.sent,
+            outcome_unknown=pending.sent,
         )
 
     # Answers
 
-    def answered(self, answer):
+    def on_answer(self, answer):
         """A home gave its final answer; a second one for the request is dropped."""
-        flight = self.flights.get(answer.request)
-        if flight is None:
+        pending = self.pending.get(answer.request)
+        if pending is None:
             return
-        if self.too_old(flight, answer):
-            flight.request = replace(flight.request, current=True)
-            flight.tried.clear()
-            self.forward(flight)
+        if self.is_too_old(pending, answer):
+            pending.request = replace(pending.request, current=True)
+            pending.tried.clear()
+            self.forward(pending)
             return
         self.reply(answer)
 
-    def too_old(self, flight, answer):
+    def is_too_old(self, pending, answer):
         """Tell whether an answer may have aged too much on its way.
 
         What goes wrong without it: an answer lies in a stopped process or a slow
@@ -185,71 +193,71 @@
         """
         if answer.outcome is not Outcome.DONE or answer.current:
             return False
-        waited = self.ctx.now - flight.since
-        return answer.age_ms + waited * 1000 > flight.max_age_ms
+        elapsed = self.ctx.now - pending.received_at
+        return answer.age_ms + elapsed * 1000 > pending.max_age_ms
 
-    def redirected(self, request_id, to):
+    def on_redirect(self, request_id, to):
         """A home cannot serve the request and knows who might."""
-        flight = self.flights.get(request_id)
-        if flight is None:
+        pending = self.pending.get(request_id)
+        if pending is None:
             return
-        request = flight.request
+        request = pending.request
         if request.hops >= self.ctx.tuning.max_hops:
-            self.drop(flight, Reason.NO_HOME, "no daemon could serve the database")
+            self.fail(pending, Reason.NO_HOME, "no daemon could serve the database")
             return
-        flight.request = replace(request, hops=request.hops + 1)
+        pending.request = replace(request, hops=request.hops + 1)
         usable = to == self.ctx.daemon or (to and self.peers.usable(to))
-        self.forward(flight, to=to if usable else "")
+        self.forward(pending, to=to if usable else "")
 
-    def peer_down(self, peer):
+    def on_peer_lost(self, peer):
         """A daemon went away or silent: its requests go to the next in the order.
 
         A write may have been run there. It goes on under the same ledger key, so
         that it takes effect once, wherever the two attempts meet.
         """
-        for flight in [item for item in self.flights.values() if item.target == peer]:
-            self.forward(flight)
+        for pending in [item for item in self.pending.values() if item.target == peer]:
+            self.forward(pending)
 
     # Watching homes
 
-    def watch(self):
+    def schedule_check(self):
         """Look after the daemons that requests are waiting for."""
-        if self.checking:
+        if self.check_scheduled:
             return
-        self.checking = True
+        self.check_scheduled = True
         self.ctx.set_timer(CHECK_INTERVAL, part=PART)
 
     def on_timer(self, timer):
         """A deadline is over, or it is time to look after the homes."""
         if timer.detail:
-            self.deadline_over(timer.detail)
+            self.on_deadline(timer.detail)
             return
-        self.checking = False
-        targets = {flight.target for flight in self.flights.values()}
+        self.check_scheduled = False
+        targets = {pending.target for pending in self.pending.values()}
         targets.discard(self.ctx.daemon)
         for target in targets:
             if not self.peers.check(target):
                 self.ctx.log(PART, f"{target} is silent, its requests move on")
                 self.ctx.emit(DropLink(peer=target))
                 self.peers.lost(target)
-                self.peer_down(target)
+                self.on_peer_lost(target)
         if targets:
-            self.watch()
+            self.schedule_check()
 
-    def deadline_over(self, request_id):
+    def on_deadline(self, request_id):
         """The home did not answer in time."""
-        flight = self.flights.get(request_id)
-        if flight is None:
+        pending = self.pending.get(request_id)
+        if pending is None:
             return
         self.refuse(
-            flight.request,
+            pending.request,
             Reason.DEADLINE,
-            f"{flight.target} did not answer in time",
-            unclear=flight.sent,
+            f"{pending.target} did not answer in time",
+            outcome_unknown=pending.sent,
         )
 
 
-def max_age_of(spec, request):
+def max_age_for(spec, request):
     """The age in milliseconds that the answer's data may have."""
     kind = spec.kind_by_name.get(request.kind)
     if request.verb is not Verb.QUERY or kind is None or kind.mode is not Mode.READ:
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -27,7 +27,7 @@
 from gypsum_core.watch import Watch
 from gypsum_core.writedesk import UnconfirmedWrites
 
-WARM_SPARE = 2
+SPARE_CONNECTIONS = 2
 KIND_BY_ACTION = {
     actions.Probe: OperationKind.PROBE,
     actions.Fence: OperationKind.FENCE,
@@ -37,8 +37,8 @@
 }
 
 
-class Office(Protocol):
-    """What a home asks of the daemon it is part of."""
+class NodeInterface(Protocol):
+    """What a home asks_outcome of the daemon it is part of."""
 
     def deliver(self, origin: str, answer: Answer) -> None:
         """Give the final answer to the daemon that the request came from."""
@@ -56,10 +56,10 @@
 class Home:
     """Serves one database on behalf of all daemons."""
 
-    def __init__(self, *, ctx, spec, office: Office):
+    def __init__(self, *, ctx, spec, node: NodeInterface):
         self.ctx = ctx
         self.spec = spec
-        self.office = office
+        self.node = node
         self.view = GroupView(
             upstreams=spec.upstream_by_id,
             majority=spec.majority,
@@ -76,7 +76,7 @@
             failover=self.failover,
             recent_writers=self.recent_writers,
             loads=self.loads,
-            leaving=office.upstream_leaving,
+            leaving=node.upstream_leaving,
         )
         self.unconfirmed_writes = UnconfirmedWrites(ctx=ctx, view=self.view)
         self.transactions = Transactions()
@@ -96,11 +96,11 @@
         self.claim = WriteClaim(
             ctx=ctx, view=self.view, recent_writers=self.recent_writers
         )
-        self.round_at = float("-inf")
-        self.round_set = False
+        self.last_round_at = float("-inf")
+        self.round_scheduled = False
         self.active = False
         self.rank = None
-        self.used_at = float("-inf")
+        self.last_used_at = float("-inf")
         self.refusals = {}
         self.admission = Admission(home=self)
         self.dispatch = Dispatcher(home=self)
@@ -124,9 +124,9 @@
         if rank == 0:
             self.activate()
         if changed:
-            self.warm()
+            self.warm_connections()
 
-    def warm(self):
+    def warm_connections(self):
         """Open connections before they are needed, within our part of the limit.
 
         The home may use `home_share` of an upstream's connections; the rest is
@@ -138,7 +138,7 @@
             share = 1.0 - share
         for upstream in self.spec.upstreams:
             limit = max(1, int(upstream.connections * share))
-            target = min(limit, upstream.slots + WARM_SPARE)
+            target = min(limit, upstream.slots + SPARE_CONNECTIONS)
             self.ctx.emit(
                 Warm(
                     database=self.spec.name,
@@ -163,7 +163,7 @@
         for upstream in list(self.view.seen):
             if upstream not in spec.upstream_by_id:
                 self.view.forget(upstream)
-        self.warm()
+        self.warm_connections()
         self.dispatch.start_queued()
 
     @property
@@ -172,10 +172,10 @@
         return bool(self.jobs) or bool(len(self.transactions))
 
     def submit(self, request, origin):
-        """Take a request; its final answer comes through the office."""
+        """Take a request; its final answer comes through the node."""
         if request.id in self.jobs:
             return
-        self.used_at = self.ctx.now
+        self.last_used_at = self.ctx.now
         self.activate()
         kind = self.kind_of(request)
         job = Job(request=request, origin=origin, kind=kind, arrived=self.ctx.now)
@@ -217,7 +217,7 @@
         )
         self.ctx.emit(action)
 
-    def learn(self, status, sent_at):
+    def apply_status(self, status, sent_at):
         """Take in a status and everything that follows from it."""
         self.failover.heard(status.upstream)
         if status.discarded:
@@ -228,13 +228,13 @@
             )
         changed = self.view.learn(status, sent_at=sent_at)
         if changed:
-            self.primary_changed()
+            self.on_primary_changed()
         self.responses.confirm_writes()
         self.failover.check()
         self.read_scheduler.place_waiting_reads()
         self.dispatch.start_queued()
 
-    def primary_changed(self):
+    def on_primary_changed(self):
         """Another primary or term is in force: nothing of the old one counts."""
         for operation in list(self.operations.values()):
             if operation.job and self.dispatch.is_outdated(operation):
@@ -252,17 +252,17 @@
             self.failover.check()
             self.dispatch.start_queued()
         elif timer.part == DEADLINE:
-            self.deadline_over(timer.detail)
+            self.on_deadline(timer.detail)
         elif timer.part == CATCH_UP:
             self.read_scheduler.on_wait_expired(timer.detail)
         elif timer.detail == ROUND:
-            self.round_set = False
+            self.round_scheduled = False
             if self.waiting_reads or self.unconfirmed_writes.jobs:
                 self.watch.ensure_round()
         elif timer.detail == POLL:
             self.watch.poll()
 
-    def deadline_over(self, request_id):
+    def on_deadline(self, request_id):
         """Answer at the deadline, truthfully: not run, or unknown."""
         job = self.jobs.get(request_id)
         if job is None or job.closed:
@@ -274,13 +274,15 @@
             job,
             Reason.DEADLINE,
             f"the deadline was over at step {job.step}",
-            unclear=running,
+            outcome_unknown=running,
         )
 
-    def refuse(self, job, reason, detail, retry_after=0.0, *, peer="", unclear=False):
+    def refuse(
+        self, job, reason, detail, retry_after=0.0, *, peer="", outcome_unknown=False
+    ):
         """Answer that a request was not run, or that this is not known."""
-        asks = job.request.verb is Verb.OUTCOME
-        known = not job.may_have_run and not unclear and not asks
+        asks_outcome = job.request.verb is Verb.OUTCOME
+        known = not job.may_have_run and not outcome_unknown and not asks_outcome
         known = known or reason in (
             Reason.SQL_ERROR,
             Reason.KEY_REUSED,
@@ -312,7 +314,7 @@
         if job.closed:
             return
         self.close(job)
-        self.office.deliver(job.origin, answer)
+        self.node.deliver(job.origin, answer)
 
     def hand_over(self, to):
         """Send everything that has not started to the next home."""
@@ -326,15 +328,15 @@
             if job.closed:
                 continue
             self.close(job)
-            self.office.redirect(job.origin, job.request.id, to)
+            self.node.redirect(job.origin, job.request.id, to)
 
     def monitors(self):
         """Other daemons to ask about the primary."""
-        return self.office.monitors(self.spec.name)
+        return self.node.monitors(self.spec.name)
 
     def upstream_leaving(self, upstream):
         """Tell whether an upstream leaves."""
-        return self.office.upstream_leaving(upstream)
+        return self.node.upstream_leaving(upstream)
 
     def describe(self):
         """What an operator wants to know of this home."""
--- a/packages/core/gypsum_core/homeboard.py
+++ b/packages/core/gypsum_core/homeboard.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class UpstreamBoard:
+class UpstreamReport:
     """One upstream as its home sees it; `lag_ms` is -1 when unproved."""
 
     id: str
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HomeBoard:
+class HomeReport:
     """One database as its home sees it."""
 
     database: str
@@ -41,13 +41,13 @@
     why_primary: dict[str, int]
     refusals: dict[str, int]
     promotions: int
-    upstreams: tuple[UpstreamBoard, ...]
+    upstreams: tuple[UpstreamReport, ...]
 
 
 def describe_home(home):
     """Describe a home and its upstreams."""
     counts = home.read_placer.counts
-    return HomeBoard(
+    return HomeReport(
         database=home.spec.name,
         version=home.spec.version,
         rank=home.rank,
@@ -77,7 +77,7 @@
     load = home.loads[name]
     as_of = home.view.as_of(name)
     proved = as_of > float("-inf")
-    return UpstreamBoard(
+    return UpstreamReport(
         id=name,
         primary=name == home.view.primary,
         promised=status.promised if status else 0,
--- a/packages/core/gypsum_core/node.py
+++ b/packages/core/gypsum_core/node.py
@@ -7,7 +7,7 @@
 from gypsum_core.drain import PART as DRAIN_PART
 from gypsum_core.drain import Drain
 from gypsum_core.entry import PART as ENTRY_PART
-from gypsum_core.entry import Entry
+from gypsum_core.entry import RequestRouter
 from gypsum_core.events import (
     CallerGone,
     CallerRequest,
@@ -68,7 +68,7 @@
         self.orders = {}
         self.homes = {}
         self.peers = Peers(ctx=self.ctx)
-        self.entry = Entry(ctx=self.ctx, peers=self.peers, office=self)
+        self.entry = RequestRouter(ctx=self.ctx, peers=self.peers, node=self)
         self.list = Instances(ctx=self.ctx, office=self)
         self.manifests = Manifests(ctx=self.ctx, peers=self.peers, office=self)
         self.drain = Drain(ctx=self.ctx, office=self)
@@ -92,9 +92,9 @@
             self.on_timer(event.timer)
         elif isinstance(event, PeerLost):
             self.peers.lost(event.peer)
-            self.entry.peer_down(event.peer)
+            self.entry.on_peer_lost(event.peer)
         elif isinstance(event, CallerGone):
-            self.entry.gone(event.request)
+            self.entry.on_caller_gone(event.request)
         elif isinstance(event, InstancesListed):
             self.on_list(event.instances, event.revision, source="platform")
         elif isinstance(event, ManifestsSeen):
@@ -117,7 +117,7 @@
         if isinstance(message, Forward):
             self.on_forward(peer, message.request)
         elif isinstance(message, Answered):
-            self.entry.answered(message.answer)
+            self.entry.on_answer(message.answer)
         elif isinstance(message, Ping):
             self.ctx.send(peer, Pong(nonce=message.nonce, leaving=self.ctx.draining))
         elif isinstance(message, Pong):
@@ -126,7 +126,7 @@
             self.peers.left(peer)
             self.rank_homes()
         elif isinstance(message, Redirect):
-            self.entry.redirected(message.request, message.to)
+            self.entry.on_redirect(message.request, message.to)
         elif isinstance(message, Digest):
             self.manifests.on_digest(peer, message)
         elif isinstance(message, Versions):
@@ -225,7 +225,7 @@
         item = self.homes.get(database)
         spec = self.spec(database)
         if item is None and spec is not None:
-            item = Home(ctx=self.ctx, spec=spec, office=self)
+            item = Home(ctx=self.ctx, spec=spec, node=self)
             self.homes[database] = item
         return item
 
@@ -322,14 +322,14 @@
     def deliver(self, origin, answer):
         """Bring a home's answer to the daemon that the request came from."""
         if origin == self.ctx.daemon:
-            self.entry.answered(answer)
+            self.entry.on_answer(answer)
             return
         self.ctx.send(origin, Answered(answer=answer))
 
     def redirect(self, origin, request, to):
         """Send a request's daemon elsewhere."""
         if origin == self.ctx.daemon:
-            self.entry.redirected(request, to)
+            self.entry.on_redirect(request, to)
             return
         self.ctx.send(origin, Redirect(request=request, to=to))
 
@@ -360,7 +360,7 @@
     def busy(self):
         """Tell whether anything is still to be answered."""
         homes_busy = any(item.busy for item in self.homes.values())
-        return homes_busy or bool(self.entry.flights)
+        return homes_busy or bool(self.entry.pending)
 
     @property
     def ready(self):
--- a/packages/core/gypsum_core/txdesk.py
+++ b/packages/core/gypsum_core/txdesk.py
@@ -152,8 +152,8 @@
             self.abort(tx)
         if job.closed:
             return
-        unclear = event.sent and operation.kind is OperationKind.TX_COMMIT
-        if unclear and event.reason is None:
+        outcome_unknown = event.sent and operation.kind is OperationKind.TX_COMMIT
+        if outcome_unknown and event.reason is None:
             self.home.responses.settle(job)
             return
         job.may_have_run = operation.may_have_run_before
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -22,7 +22,7 @@
     def poll(self):
         """Probe the whole group and come back after the interval."""
         tuning = self.ctx.tuning
-        idle = self.ctx.now - self.home.used_at > tuning.home_idle_after
+        idle = self.ctx.now - self.home.last_used_at > tuning.home_idle_after
         if self.home.rank != 0 and idle and not self.home.busy:
             self.home.active = False
             return
@@ -85,17 +85,17 @@
         One round serves every read and write waiting at the time, so the number
         of questions does not grow with the number of requests.
         """
-        if self.home.round_set:
+        if self.home.round_scheduled:
             return
         gap = self.round_gap()
-        delay = max(0.0, self.home.round_at + gap - self.ctx.now)
+        delay = max(0.0, self.home.last_round_at + gap - self.ctx.now)
         if delay > 0:
-            self.home.round_set = True
+            self.home.round_scheduled = True
             self.ctx.set_timer(
                 delay, part=PART, database=self.home.spec.name, detail=ROUND
             )
             return
-        self.home.round_at = self.ctx.now
+        self.home.last_round_at = self.ctx.now
         self.poll_once()
 
     def round_gap(self):
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -7,7 +7,7 @@
 from gypsum_core.answers import ResponseHandler
 from gypsum_core.drain import Drain
 from gypsum_core.election import Election
-from gypsum_core.entry import Entry
+from gypsum_core.entry import RequestRouter
 from gypsum_core.group import GroupView
 from gypsum_core.home import Home
 from gypsum_core.manifests import Manifests
@@ -39,7 +39,7 @@
 
 def mix_up_answers(patch):
     """Two answers change places."""
-    plain = Entry.reply
+    plain = RequestRouter.reply
     held = []
 
     def reply(self, answer):
@@ -55,7 +55,7 @@
             plain(one, replace(first, result=second.result))
             plain(two, replace(second, result=first.result))
 
-    patch.setattr(Entry, "reply", reply)
+    patch.setattr(RequestRouter, "reply", reply)
 
 
 def deny_what_may_have_run(patch):
