--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -38,7 +38,7 @@
 
 
 class NodeInterface(Protocol):
-    """What a home asks_outcome of the daemon it is part of."""
+    """What a home asks of the daemon it is part of."""
 
     def deliver(self, origin: str, answer: Answer) -> None:
         """Give the final answer to the daemon that the request came from."""
