--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -6,7 +6,6 @@
 from gypsum_core import actions
 from gypsum_core.actions import Warm
 from gypsum_core.admission import Admission
-from gypsum_core.answers import ResponseHandler
 from gypsum_core.claim import WriteClaim
 from gypsum_core.dispatch import Dispatcher
 from gypsum_core.failover import PART as FAILOVER_PART
@@ -20,6 +19,7 @@
 from gypsum_core.readdesk import ReadPlacer
 from gypsum_core.recent import RecentWriters
 from gypsum_core.records import Answer, Outcome, Reason, Verb
+from gypsum_core.responses import ResponseHandler
 from gypsum_core.retry import RetryBudget
 from gypsum_core.timers import CATCH_UP, DEADLINE, POLL, ROUND
 from gypsum_core.transactions import Transactions
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -4,7 +4,6 @@
 and expects the checker to name the promise that it breaks.
 """
 
-from gypsum_core.answers import ResponseHandler
 from gypsum_core.drain import Drain
 from gypsum_core.election import Election
 from gypsum_core.entry import RequestRouter
@@ -14,6 +13,7 @@
 from gypsum_core.node import Node
 from gypsum_core.readdesk import ReadPlacer
 from gypsum_core.records import Outcome
+from gypsum_core.responses import ResponseHandler
 
 
 def forget_sessions(patch):
