--- a/packages/core/gypsum_core/node.py
+++ b/packages/core/gypsum_core/node.py
@@ -6,8 +6,6 @@
 from gypsum_core.context import Context
 from gypsum_core.drain import PART as DRAIN_PART
 from gypsum_core.drain import Drain
-from gypsum_core.entry import PART as ENTRY_PART
-from gypsum_core.entry import RequestRouter
 from gypsum_core.events import (
     CallerGone,
     CallerRequest,
@@ -42,6 +40,8 @@
 )
 from gypsum_core.peers import Peers
 from gypsum_core.placement import Placement
+from gypsum_core.router import PART as ENTRY_PART
+from gypsum_core.router import RequestRouter
 from gypsum_core.spec import DEFAULT_TUNING, InstanceRole
 
 HOME_PARTS = frozenset({timers.PART, timers.DEADLINE, timers.CATCH_UP, FAILOVER_PART})
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -6,7 +6,6 @@
 
 from gypsum_core.drain import Drain
 from gypsum_core.election import Election
-from gypsum_core.entry import RequestRouter
 from gypsum_core.group import GroupView
 from gypsum_core.home import Home
 from gypsum_core.manifests import Manifests
@@ -14,6 +13,7 @@
 from gypsum_core.readdesk import ReadPlacer
 from gypsum_core.records import Outcome
 from gypsum_core.responses import ResponseHandler
+from gypsum_core.router import RequestRouter
 
 
 def forget_sessions(patch):
