--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -12,7 +12,7 @@
 from gypsum_core.failover import Failover
 from gypsum_core.fairqueue import FairQueue
 from gypsum_core.group import GroupView
-from gypsum_core.homeboard import describe_home
+from gypsum_core.homereport import describe_home
 from gypsum_core.jobs import Job, Operation, OperationKind
 from gypsum_core.limits import UpstreamLoad
 from gypsum_core.placing import ReadScheduler
