--- a/packages/core/gypsum_core/admission.py
+++ b/packages/core/gypsum_core/admission.py
@@ -1,6 +1,6 @@
 """Which requests may wait at a home, and which are refused at once."""
 
-from gypsum_core.limits import DEFAULT_RETRY_AFTER, expected_wait
+from gypsum_core.load import DEFAULT_RETRY_AFTER, expected_wait
 from gypsum_core.records import Reason
 
 PRIMARY_LOSS_TOLERANCE = 3.0
--- a/packages/core/gypsum_core/router.py
+++ b/packages/core/gypsum_core/router.py
@@ -4,7 +4,7 @@
 
 from gypsum_core.actions import DropLink, Reply
 from gypsum_core.checks import check_request
-from gypsum_core.limits import DEFAULT_RETRY_AFTER
+from gypsum_core.load import DEFAULT_RETRY_AFTER
 from gypsum_core.messages import Forward
 from gypsum_core.records import Answer, Mode, Outcome, Reason, Request, Verb
 
--- a/packages/core/gypsum_core/txdesk.py
+++ b/packages/core/gypsum_core/txdesk.py
@@ -4,7 +4,7 @@
 
 from gypsum_core import actions
 from gypsum_core.jobs import OperationKind
-from gypsum_core.limits import DEFAULT_RETRY_AFTER
+from gypsum_core.load import DEFAULT_RETRY_AFTER
 from gypsum_core.records import Answer, Outcome, Reason, Verb
 from gypsum_core.timers import PART
 from gypsum_core.transactions import Transaction
