--- a/bench/replicas.py
+++ b/bench/replicas.py
@@ -13,7 +13,7 @@
 
 from bench.report import Figure, percentile
 from gypsum_core.actions import Probe
-from gypsum_core.readdesk import Place, Placement, ReadPlacer
+from gypsum_core.readplacer import Place, Placement, ReadPlacer
 from gypsum_core.records import Mode
 from gypsum_core.spec import KindSpec
 from tests.fakes.world import World, get, make_spec, put
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -7,7 +7,7 @@
 from gypsum_core.jobs import WRITE_OPERATIONS, Operation, OperationKind
 from gypsum_core.ledger import ledger_row
 from gypsum_core.load import DEFAULT_RETRY_AFTER
-from gypsum_core.readdesk import Place
+from gypsum_core.readplacer import Place
 from gypsum_core.records import Reason, Verb
 
 MAX_READS_TRIED = 32
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -15,7 +15,7 @@
 from gypsum_core.homereport import describe_home
 from gypsum_core.jobs import Job, Operation, OperationKind
 from gypsum_core.load import UpstreamLoad
-from gypsum_core.readdesk import ReadPlacer
+from gypsum_core.readplacer import ReadPlacer
 from gypsum_core.readscheduler import ReadScheduler
 from gypsum_core.recent import RecentWriters
 from gypsum_core.records import Answer, Outcome, Reason, Verb
--- a/packages/core/gypsum_core/readscheduler.py
+++ b/packages/core/gypsum_core/readscheduler.py
@@ -1,6 +1,6 @@
 """Where a home puts a read now, and when it looks again."""
 
-from gypsum_core.readdesk import CATCH_UP_STEP, Place
+from gypsum_core.readplacer import CATCH_UP_STEP, Place
 from gypsum_core.timers import CATCH_UP
 
 
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -4,7 +4,7 @@
 from gypsum_core.actions import DropConnections, Probe
 from gypsum_core.jobs import Operation, OperationKind
 from gypsum_core.messages import PrimaryHeard
-from gypsum_core.readdesk import CATCH_UP_STEP
+from gypsum_core.readplacer import CATCH_UP_STEP
 from gypsum_core.timers import PART, POLL, ROUND
 
 REFRESH_PART = 0.25
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -10,7 +10,7 @@
 from gypsum_core.home import Home
 from gypsum_core.manifests import Manifests
 from gypsum_core.node import Node
-from gypsum_core.readdesk import ReadPlacer
+from gypsum_core.readplacer import ReadPlacer
 from gypsum_core.records import Outcome
 from gypsum_core.responses import ResponseHandler
 from gypsum_core.router import RequestRouter
