--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -17,7 +17,7 @@
 from gypsum_core.load import UpstreamLoad
 from gypsum_core.readplacer import ReadPlacer
 from gypsum_core.readscheduler import ReadScheduler
-from gypsum_core.recent import RecentWriters
+from gypsum_core.recentwriters import RecentWriters
 from gypsum_core.records import Answer, Outcome, Reason, Verb
 from gypsum_core.responses import ResponseHandler
 from gypsum_core.retry import RetryBudget
--- a/tests/test_found_failures.py
+++ b/tests/test_found_failures.py
@@ -6,7 +6,7 @@
 from gypsum_core.claim import WriteClaim
 from gypsum_core.context import Context
 from gypsum_core.group import GroupView
-from gypsum_core.recent import RecentWriters
+from gypsum_core.recentwriters import RecentWriters
 from gypsum_core.records import Outcome, Position, Status, Verb
 from tests import matrix, scenario
 from tests.fakes.world import World, get, put
