--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -22,8 +22,8 @@
 from gypsum_core.responses import ResponseHandler
 from gypsum_core.retry import RetryBudget
 from gypsum_core.timers import CATCH_UP, DEADLINE, POLL, ROUND
+from gypsum_core.transactionmanager import TransactionManager
 from gypsum_core.transactions import Transactions
-from gypsum_core.txdesk import TransactionManager
 from gypsum_core.watch import Watch
 from gypsum_core.writedesk import UnconfirmedWrites
 
