--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -24,8 +24,8 @@
 from gypsum_core.timers import CATCH_UP, DEADLINE, POLL, ROUND
 from gypsum_core.transactionmanager import TransactionManager
 from gypsum_core.transactions import Transactions
+from gypsum_core.unconfirmedwrites import UnconfirmedWrites
 from gypsum_core.watch import Watch
-from gypsum_core.writedesk import UnconfirmedWrites
 
 SPARE_CONNECTIONS = 2
 KIND_BY_ACTION = {
--- a/packages/core/gypsum_core/responses.py
+++ b/packages/core/gypsum_core/responses.py
@@ -7,7 +7,7 @@
 from gypsum_core.jobs import SLOT_OPERATIONS, OperationKind
 from gypsum_core.load import DEFAULT_RETRY_AFTER
 from gypsum_core.records import Answer, Outcome, Reason, Verb
-from gypsum_core.writedesk import done_answer
+from gypsum_core.unconfirmedwrites import done_answer
 
 
 class ResponseHandler:
