--- a/packages/core/gypsum_core/admission.py
+++ b/packages/core/gypsum_core/admission.py
@@ -1,4 +1,4 @@
-"""Which requests may wait at a home, and which are refused at once."""
+"""Admission control: which requests a home queues and which it refuses."""
 
 from gypsum_core.load import DEFAULT_RETRY_AFTER, expected_wait
 from gypsum_core.records import Reason
@@ -9,14 +9,14 @@
 
 
 class Admission:
-    """Refuses early what could not be answered in time."""
+    """Refuses requests that could not be answered before their deadline."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
     def admit_primary(self, job):
-        """Queue work for the primary, or refuse it at once."""
+        """Queue a job for the primary, or refuse it immediately."""
         if job.is_write and self.home.unconfirmed_writes.is_stalled():
             self.home.refuse(
                 job,
@@ -49,7 +49,7 @@
             )
 
     def leaderless_for(self):
-        """Seconds without a primary that answers."""
+        """Return for how many seconds no primary has answered."""
         since = self.home.failover.leaderless_since
         if since is not None:
             return self.ctx.now - since
@@ -58,12 +58,15 @@
         return self.home.failover.silence(self.home.view.primary)
 
     def primary_service_time(self):
-        """Seconds that one statement takes at the primary."""
+        """Return the mean seconds that a statement takes at the primary."""
         load = self.home.loads.get(self.home.view.primary)
         return load.service_time if load else 0.0
 
     def admit(self, job, queue, slots, service_time):
-        """Refuse now what could not be answered in time; tell if it may wait."""
+        """Return whether a job may be queued; refuse it if not.
+
+        It may if it can be answered before its deadline and the queue is not full.
+        """
         member = job.request.member
         wait = expected_wait(
             ahead=queue.count_ahead(
@@ -80,18 +83,18 @@
         return False
 
     def refuse_overloaded(self, job, wait):
-        """Refuse a request that its member's queue leaves no time for."""
+        """Refuse a request because its member's queue is too long."""
         member = job.request.member
         self.home.refuse(
             job, Reason.OVERLOAD, f"{member}: queue is too long", retry_after=wait
         )
 
     def refuse_if_late(self, job, load):
-        """Refuse a request that could not be answered any more; tell if so.
+        """Refuse a request that can no longer be answered in time; return whether.
 
-        What goes wrong without it: after a failover the queue holds what is about
-        to expire, each such request takes a slot and is answered too late, and the
-        next one has expired meanwhile as well.
+        After a failover the queue holds requests that are about to expire. Each of
+        them would occupy a slot and be answered too late, and by then the next one
+        would have expired as well.
         """
         left = job.request.deadline - self.ctx.now
         needed = (
@@ -110,11 +113,10 @@
         return True
 
     def refuse_displaced(self, queue, member, slots, service_time):
-        """Refuse what newer and worthier requests have pushed out of time.
+        """Refuse requests that newer ones of higher worth have displaced.
 
-        What goes wrong without it: a request of little worth waits until its
-        deadline for a turn that never comes, and its caller learns nothing until
-        then.
+        A request of low worth would otherwise stay queued until its deadline
+        without ever being run, and its caller would get no answer before then.
         """
         while queue.queued(member) > slots:
             job = queue.last(member)
@@ -131,7 +133,7 @@
                 self.refuse_overloaded(job, wait)
 
     def enqueue_primary(self, job, *, first=False):
-        """Put a job into the primary's queue."""
+        """Add a job to the primary's queue; with `first`, at its member's head."""
         job.step = "queue"
         self.home.primary_queue.push(
             job,
--- a/packages/core/gypsum_core/checks.py
+++ b/packages/core/gypsum_core/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a request against the manifest, before anything runs."""
+"""Validation of requests against the manifest before they run."""
 
 import re
 
@@ -15,7 +15,7 @@
 
 
 def check_request(spec, request):
-    """Say what is wrong with a request; empty when nothing is."""
+    """Return what is wrong with a request, or an empty string."""
     if request.member not in spec.weight_by_member:
         return f"unknown member {request.member!r}"
     if request.verb in (Verb.QUERY, Verb.BEGIN):
@@ -26,11 +26,11 @@
 
 
 def check_statement(mode, statement):
-    """Check that a statement is one that its mode can guard.
+    """Check that a statement begins with a keyword that its mode allows.
 
-    What goes wrong without it: a caller's own COMMIT, or a statement that commits
-    implicitly as CREATE does, ends the transaction that holds the ledger row, and
-    the request may run twice.
+    A caller's own COMMIT, or a statement that commits implicitly such as CREATE,
+    would end the transaction that holds the ledger row, and the request could run
+    twice.
     """
     match = FIRST_KEYWORD.match(statement.sql)
     keyword = match.group(1).lower() if match else ""
@@ -41,7 +41,7 @@
 
 
 def check_kind(spec, request):
-    """Check that the kind exists and fits what is asked."""
+    """Check that the kind exists and allows the request's verb and statement."""
     kind = spec.kind_by_name.get(request.kind)
     if kind is None:
         return f"unknown kind {request.kind!r}"
--- a/packages/core/gypsum_core/claim.py
+++ b/packages/core/gypsum_core/claim.py
@@ -1,15 +1,15 @@
-"""The claim: which daemon's writes the group accepts."""
+"""The claim row that names the one daemon whose writes a group accepts."""
 
 
 class WriteClaim:
-    """Our claim on one group, and whether the recent writers' table rests on it.
+    """This daemon's claim on one group, on which the recent writers' table depends.
 
-    The group refuses writes of a daemon that its claim row does not name. So while
-    the row names us, our table of recent writers misses nobody.
+    The group refuses writes of a daemon that its claim row does not name. While the
+    row names this daemon, its table of recent writers is complete.
 
-    Each attempt claims under a name of its own. What goes wrong otherwise: an
-    earlier attempt that was given up arrives late, puts our name back over another
-    home's, and that home's writes are missing from a table that looks complete.
+    Each attempt claims under its own name. With a shared name, an abandoned attempt
+    that takes effect late would replace another home's claim, and that home's writes
+    would be missing from a table that is taken to be complete.
     """
 
     def __init__(self, *, ctx, view, recent_writers):
@@ -22,34 +22,34 @@
 
     @property
     def holder(self):
-        """The name under which the current attempt claims."""
+        """The holder name of the current attempt."""
         return f"{self.ctx.daemon}/{self.ctx.incarnation}/{self.attempt}"
 
     @property
     def held(self):
-        """Tell whether the claim is ours, as last seen, and our table complete."""
+        """Whether the last status shows our claim and the table is complete."""
         return self.acknowledged and self.is_named_in(self.primary_status())
 
     def primary_status(self):
-        """The primary's last status, or None."""
+        """Return the primary's last status, or None."""
         return self.view.status(self.view.primary) if self.view.primary else None
 
     def is_named_in(self, status):
-        """Tell whether a status names our current attempt."""
+        """Return whether a status names the current attempt as holder."""
         return status is not None and status.claim == self.holder
 
     def begin(self):
-        """Start an attempt; returns the name to claim under."""
+        """Start an attempt; returns its holder name."""
         self.attempt += 1
         self.acknowledged = False
         self.in_progress = True
         return self.holder
 
     def on_answer(self, status):
-        """The attempt was answered; the table starts anew behind it.
+        """Handle the attempt's own response and reset the table to its position.
 
-        Only now: a probe may show our name earlier, while the table still holds
-        what it had before another home wrote.
+        A probe may show the new holder earlier, while the table still has entries
+        from before another home's writes; it doesn't complete the attempt.
         """
         self.in_progress = False
         if self.is_named_in(status):
@@ -57,9 +57,9 @@
             self.acknowledged = True
 
     def on_failure(self):
-        """The attempt failed or got no answer; whether it took effect is open."""
+        """Handle a failed or unanswered attempt, which may still take effect."""
         self.in_progress = False
 
     def on_lost(self):
-        """The group refused our name."""
+        """Handle a write that was refused because another daemon holds the claim."""
         self.acknowledged = False
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -1,4 +1,4 @@
-"""When a home sends what to which upstream."""
+"""Dispatch of a home's queued jobs to upstreams."""
 
 from collections import deque
 
@@ -15,14 +15,14 @@
 
 
 class Dispatcher:
-    """Starts queued work where slots and proofs allow."""
+    """Starts queued jobs on upstreams with free slots and sufficiently fresh data."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
     def start_queued(self):
-        """Start whatever may start now."""
+        """Start all jobs that can start now."""
         self.redirect_if_vetoed()
         self.start_replica_reads()
         self.start_primary_work()
@@ -30,7 +30,7 @@
             self.home.watch.ensure_round()
 
     def redirect_if_vetoed(self):
-        """Pass work on to the daemon that hears the primary we do not."""
+        """Redirect waiting jobs to a daemon that still reaches the primary."""
         if not self.home.failover.vetoed:
             return
         waiting = (
@@ -84,7 +84,7 @@
         self.home.deferred_reads = deferred
 
     def has_free_replica(self):
-        """Tell whether a replica has a free slot."""
+        """Return whether a replica has a free slot."""
         return any(
             load.free_slots
             for name, load in self.home.loads.items()
@@ -92,7 +92,7 @@
         )
 
     def start_primary_work(self):
-        """Start queued work at the primary while it is valid and has slots."""
+        """Start queued jobs at the primary while it is trusted and has free slots."""
         primary = self.home.view.primary
         if primary is None or self.home.failover.election is not None:
             return
@@ -122,14 +122,14 @@
             self.start_at_primary(job, primary)
 
     def requeue_at_head(self, job):
-        """Return a job to the head of where it came from."""
+        """Put a job back at the head of the queue that it came from."""
         if job.request.tx and not job.settling:
             self.home.transaction_jobs.appendleft(job)
             return
         self.home.admission.enqueue_primary(job, first=True)
 
     def start_primary_read(self, job, primary):
-        """Run a read at the primary, unless its proof has become stale."""
+        """Run a read at the primary, unless that is no longer proven to be current."""
         placement = self.home.read_placer.place(job, self.home.claim.held)
         if placement.place is Place.PRIMARY:
             job.primary_reason = placement.why
@@ -158,16 +158,16 @@
         )
 
     def attempt_time(self, job):
-        """Seconds for one attempt; half of what is left stays for another.
+        """Return the timeout of one attempt in seconds.
 
-        What goes wrong otherwise: a connection that has gone silent takes the
-        whole deadline with it, and a retry that would succeed comes too late.
+        The first attempt gets half of the remaining time. Otherwise a silent
+        connection would use up the whole deadline and leave no time for a retry.
         """
         left = max(0.001, job.request.deadline - self.ctx.now)
         return left * FIRST_ATTEMPT_SHARE if job.attempts < 2 else left
 
     def start_at_primary(self, job, primary):
-        """Run a write, outcome, begin, statement, commit or rollback."""
+        """Run a write, outcome query, begin, statement or commit."""
         request = job.request
         if job.settling or request.verb is Verb.OUTCOME:
             self.start(
@@ -206,7 +206,7 @@
             )
 
     def start(self, job, action_class, kind, upstream, timeout=None, **fields):
-        """Emit a slotted operation for a job."""
+        """Emit an operation that occupies a slot of its upstream."""
         may_have_run_before = job.may_have_run
         job.may_have_run = may_have_run_before or kind in WRITE_OPERATIONS
         job.attempts += 1
@@ -235,7 +235,7 @@
         self.ctx.emit(action)
 
     def is_outdated(self, operation):
-        """Tell whether an operation runs at a primary that leads no more."""
+        """Return whether an operation runs at a primary that has been replaced."""
         if (
             operation.kind is OperationKind.READ
             and operation.job.primary_reason is None
@@ -247,10 +247,10 @@
         )
 
     def abandon_silent_reads(self):
-        """Take reads back from upstreams that have gone silent.
+        """Abandon and retry reads at upstreams that have become silent.
 
-        What goes wrong without it: a read sent to a replica just before that froze
-        waits for half its deadline, though the silence is known after 0.2 s.
+        A read sent to a replica just before it froze would otherwise wait for half
+        of its deadline, although the silence is known after 0.2 s.
         """
         for operation in list(self.home.operations.values()):
             silent = self.home.failover.suspicious(operation.upstream)
@@ -258,7 +258,7 @@
                 self.abandon_and_retry(operation)
 
     def abandon_and_retry(self, operation):
-        """Abandon an operation; its late answer finds nobody waiting."""
+        """Abandon an operation, drop its late response, and retry its job."""
         self.home.operations.pop(operation.op, None)
         self.home.loads[operation.upstream].finish(None)
         self.ctx.emit(
--- a/packages/core/gypsum_core/fairqueue.py
+++ b/packages/core/gypsum_core/fairqueue.py
@@ -1,4 +1,4 @@
-"""Weighted fair queue: members share by weight, worth orders within a member."""
+"""Weighted fair queue over members; items of one member are ordered by worth."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class QueuedItem:
-    """One waiting item in the order in which its member wants it served."""
+    """A queued item; items of a member sort by worth, deadline and arrival."""
 
     negated_worth: float
     deadline: float
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class MemberQueue:
-    """One member's waiting items and its place in virtual time."""
+    """One member's queued items and its finish tag in virtual time."""
 
     items: SortedList
     finish_tag: float = 0.0
@@ -27,10 +27,10 @@
 class FairQueue:
     """Start-time fair queueing over members.
 
-    What goes wrong without it: one member's flood stands in front of everyone,
-    and the others' waiting time grows with the flood. Here each dequeue charges
-    the member 1/weight of virtual time and the member with the smallest tag goes
-    next, so another member waits at most for its own share.
+    With a single queue, a burst of one member would delay all others by its length.
+    Here each dequeue charges the member 1/weight of virtual time, and the member
+    with the smallest tag is served next, so the delay of a member depends on its
+    own share only.
     """
 
     def __init__(self, *, weights):
@@ -67,21 +67,21 @@
         return item
 
     def next_member(self):
-        """The waiting member with the smallest tag."""
+        """Return the member with queued items and the smallest finish tag."""
         backlogged = [member for member, queue in self.queues.items() if queue.items]
         return min(
             backlogged, key=lambda name: self.queues[name].finish_tag, default=None
         )
 
     def share(self, member):
-        """The part of the service that a member gets while it waits."""
+        """Return the fraction of the service that a member gets while it has items."""
         competing = {name for name, queue in self.queues.items() if queue.items}
         competing.add(member)
         total = sum(self.weights.get(name, 1.0) for name in competing)
         return self.weights.get(member, 1.0) / total
 
     def count_ahead(self, member, *, worth, deadline):
-        """How many of a member's items would be served before a new one."""
+        """Return how many of a member's items would be served before a new one."""
         queue = self.queues.get(member)
         if queue is None:
             return 0
@@ -90,22 +90,22 @@
         )
 
     def last(self, member):
-        """The item of a member that is served last, or None."""
+        """Return the item that a member would be served last, or None."""
         queue = self.queues.get(member)
         return queue.items[-1].item if queue and queue.items else None
 
     def queued(self, member):
-        """How many of a member's items wait."""
+        """Return the number of a member's queued items."""
         queue = self.queues.get(member)
         return len(queue.items) if queue else 0
 
     def pop_last(self, member):
-        """Take out the item of a member that is served last."""
+        """Remove and return the item that a member would be served last."""
         self.size -= 1
         return self.queues[member].items.pop().item
 
     def remove_if(self, predicate):
-        """Take out and return all items that pass a test."""
+        """Remove and return all items for which the predicate holds."""
         removed = []
         for queue in self.queues.values():
             matching = [entry for entry in queue.items if predicate(entry.item)]
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -1,4 +1,4 @@
-"""The home of one database: the parts that serve it, and the book of its jobs."""
+"""The home of one database: its components and its open jobs."""
 
 from collections import deque
 from typing import Protocol
@@ -38,19 +38,19 @@
 
 
 class NodeInterface(Protocol):
-    """What a home asks of the daemon it is part of."""
+    """What a home needs from the daemon that it is part of."""
 
     def deliver(self, origin: str, answer: Answer) -> None:
-        """Give the final answer to the daemon that the request came from."""
+        """Send the final answer to the daemon that the request came from."""
 
     def redirect(self, origin: str, request: str, to: str) -> None:
-        """Ask the request's daemon to try another home."""
+        """Redirect a request: ask its daemon to send it to another home."""
 
     def monitors(self, database: str) -> list[str]:
-        """Other daemons that may be asked about the database's primary."""
+        """Return other daemons to ask whether they reach the primary."""
 
     def upstream_leaving(self, upstream: str) -> bool:
-        """Tell whether the instance list marks an upstream as leaving."""
+        """Return whether the instance list marks an upstream as leaving."""
 
 
 class Home:
@@ -118,7 +118,7 @@
         self.watch.poll()
 
     def set_rank(self, rank):
-        """Take the place in the database's order: 0 serves, 1 stands by."""
+        """Set the rank in the database's order: 0 is the home, 1 the standby."""
         changed = rank != self.rank
         self.rank = rank
         if rank == 0:
@@ -127,11 +127,11 @@
             self.warm_connections()
 
     def warm_connections(self):
-        """Open connections before they are needed, within our part of the limit.
+        """Open connections before they are needed, within this daemon's share.
 
-        The home may use `home_share` of an upstream's connections; the rest is
-        left for the standby, so that both together never exceed the limit while
-        the old home does not know that it was passed over.
+        The home may use `home_share` of an upstream's connections, the standby the
+        rest. So both together never exceed the limit, even while the old home
+        doesn't know yet that it was replaced.
         """
         share = self.ctx.tuning.home_share
         if self.rank != 0:
@@ -149,7 +149,7 @@
             )
 
     def update_spec(self, spec):
-        """Put a newer manifest in force; running work goes on under it."""
+        """Apply a newer manifest; running jobs continue under it."""
         self.spec = spec
         for queue in (self.replica_queue, self.primary_queue):
             queue.weights = spec.weight_by_member
@@ -168,11 +168,11 @@
 
     @property
     def busy(self):
-        """Tell whether anything is still to be answered here."""
+        """Whether jobs or transactions are open here."""
         return bool(self.jobs) or bool(len(self.transactions))
 
     def submit(self, request, origin):
-        """Take a request; its final answer comes through the node."""
+        """Accept a request; the final answer goes to the node's `deliver`."""
         if request.id in self.jobs:
             return
         self.last_used_at = self.ctx.now
@@ -199,12 +199,12 @@
         self.dispatch.start_queued()
 
     def kind_of(self, request):
-        """The request's kind; verbs without one get the transaction's defaults."""
+        """Return the request's kind, or the first kind for verbs without one."""
         kind = self.spec.kind_by_name.get(request.kind)
         return kind or self.spec.kinds[0]
 
     def launch(self, action):
-        """Emit an action of the failover machine and note what it is for."""
+        """Emit an action without a job and record it as a pending operation."""
         kind = KIND_BY_ACTION[type(action)]
         term = getattr(action, "term", self.view.term)
         self.operations[action.op] = Operation(
@@ -218,7 +218,7 @@
         self.ctx.emit(action)
 
     def apply_status(self, status, sent_at):
-        """Take in a status and everything that follows from it."""
+        """Apply a status to the group view and act on the changes."""
         self.failover.heard(status.upstream)
         if status.discarded:
             self.ctx.log(
@@ -235,7 +235,7 @@
         self.dispatch.start_queued()
 
     def on_primary_changed(self):
-        """Another primary or term is in force: nothing of the old one counts."""
+        """Abandon operations, transactions and writes of the previous primary."""
         for operation in list(self.operations.values()):
             if operation.job and self.dispatch.is_outdated(operation):
                 self.dispatch.abandon_and_retry(operation)
@@ -247,7 +247,7 @@
                 self.responses.requeue(job)
 
     def on_timer(self, timer):
-        """A timer of this home is due."""
+        """Handle a timer of this home."""
         if timer.part == FAILOVER_PART:
             self.failover.check()
             self.dispatch.start_queued()
@@ -263,7 +263,7 @@
             self.watch.poll()
 
     def on_deadline(self, request_id):
-        """Answer at the deadline, truthfully: not run, or unknown."""
+        """Answer a request at its deadline as not run, or as unknown."""
         job = self.jobs.get(request_id)
         if job is None or job.closed:
             return
@@ -280,7 +280,7 @@
     def refuse(
         self, job, reason, detail, retry_after=0.0, *, peer="", outcome_unknown=False
     ):
-        """Answer that a request was not run, or that this is not known."""
+        """Answer that a request was not run, or that its outcome is unknown."""
         asks_outcome = job.request.verb is Verb.OUTCOME
         known = not job.may_have_run and not outcome_unknown and not asks_outcome
         known = known or reason in (
@@ -305,19 +305,19 @@
         )
 
     def close(self, job):
-        """Strike a job off the book; nothing more is answered for it."""
+        """Remove a job; later responses for it are dropped."""
         job.closed = True
         self.jobs.pop(job.request.id, None)
 
     def finish(self, job, answer):
-        """Give a job its one final answer."""
+        """Deliver the final answer of a job."""
         if job.closed:
             return
         self.close(job)
         self.node.deliver(job.origin, answer)
 
     def hand_over(self, to):
-        """Send everything that has not started to the next home."""
+        """Redirect all jobs that have not started to the next home."""
         waiting = self.primary_queue.remove_if(lambda job: not job.settling)
         waiting += self.replica_queue.remove_if(lambda job: True)
         waiting += self.waiting_reads
@@ -331,13 +331,13 @@
             self.node.redirect(job.origin, job.request.id, to)
 
     def monitors(self):
-        """Other daemons to ask about the primary."""
+        """Return other daemons to ask whether they reach the primary."""
         return self.node.monitors(self.spec.name)
 
     def upstream_leaving(self, upstream):
-        """Tell whether an upstream leaves."""
+        """Return whether the instance list marks an upstream as leaving."""
         return self.node.upstream_leaving(upstream)
 
     def describe(self):
-        """What an operator wants to know of this home."""
+        """Return this home's state for metrics and operators."""
         return describe_home(self)
--- a/packages/core/gypsum_core/homereport.py
+++ b/packages/core/gypsum_core/homereport.py
@@ -1,11 +1,11 @@
-"""What an operator sees of a home."""
+"""A home's state, as metrics and operators' pages show it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UpstreamReport:
-    """One upstream as its home sees it; `lag_ms` is -1 when unproved."""
+    """State of an upstream as seen by its home; `lag_ms` is -1 if not proven."""
 
     id: str
     primary: bool
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HomeReport:
-    """One database as its home sees it."""
+    """State of a database as seen by its home."""
 
     database: str
     version: int
@@ -45,7 +45,7 @@
 
 
 def describe_home(home):
-    """Describe a home and its upstreams."""
+    """Return the state of a home and its upstreams."""
     counts = home.read_placer.counts
     return HomeReport(
         database=home.spec.name,
@@ -72,7 +72,7 @@
 
 
 def describe_upstream(home, name):
-    """Describe one upstream."""
+    """Return the state of one upstream."""
     status = home.view.status(name)
     load = home.loads[name]
     as_of = home.view.as_of(name)
--- a/packages/core/gypsum_core/jobs.py
+++ b/packages/core/gypsum_core/jobs.py
@@ -1,4 +1,4 @@
-"""Requests and operations while a home works on them."""
+"""Jobs (requests at a home) and the upstream operations that run them."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,11 +9,11 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Job:
-    """One request at its home.
+    """A request at its home.
 
-    `origin` is the daemon to answer. `may_have_run` says that an attempt may have
-    taken effect, so that "not run" needs proof. `closed` says that the final
-    answer is out and whatever comes later is dropped.
+    `origin` is the daemon to answer. If `may_have_run`, an attempt may have taken
+    effect, and "not run" may be answered only with proof. Once `closed`, the final
+    answer was sent and later responses are dropped.
     """
 
     request: Request
@@ -36,24 +36,24 @@
 
     @property
     def caller(self):
-        """Whose writes the next read of this caller must show."""
+        """The key of this caller in the table of recent writers."""
         return (self.request.member, self.request.caller)
 
     @property
     def is_read(self):
-        """Tell whether a replica may serve it."""
+        """Whether a replica may serve it."""
         return self.request.verb is Verb.QUERY and self.kind.mode is Mode.READ
 
     @property
     def is_write(self):
-        """Tell whether it leaves a ledger row."""
+        """Whether it inserts a ledger row."""
         if self.request.verb is Verb.COMMIT:
             return True
         return self.request.verb is Verb.QUERY and self.kind.mode is Mode.WRITE
 
 
 class OperationKind(StrEnum):
-    """What an upstream operation is for."""
+    """Purpose of an upstream operation."""
 
     PROBE = "probe"
     ASKED_PROBE = "asked_probe"
@@ -85,12 +85,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class Operation:
-    """An upstream action in flight.
+    """A pending upstream action.
 
-    `as_of` is the time from which a read's age counts, `floor` the position that it
-    was proved to show and that its caller's token will carry; a caller who came
-    without a token need not be vouched for again. `may_have_run_before` is what
-    the job's `may_have_run` returns to when this attempt provably did nothing.
+    `as_of` is the time from which a read's age counts. `floor` is the position that
+    the read is proven to reflect; it goes into the caller's session token, so that
+    a caller without a token needs no lookup of recent writes next time. The job's
+    `may_have_run` is reset to `may_have_run_before` if this attempt provably had no
+    effect.
     """
 
     op: int
--- a/packages/core/gypsum_core/ledger.py
+++ b/packages/core/gypsum_core/ledger.py
@@ -1,4 +1,4 @@
-"""What the group's request ledger stores for a write."""
+"""Rows of the group's request ledger, which makes writes idempotent."""
 
 from xxhash import xxh3_128_hexdigest
 
@@ -7,7 +7,7 @@
 
 
 def ledger_row(job):
-    """The ledger entry that stands for a job's write."""
+    """Return the ledger row of a job's write."""
     request = job.request
     return LedgerRow(
         member=request.member, key=request.key, fingerprint=fingerprint(request)
@@ -15,9 +15,9 @@
 
 
 def fingerprint(request):
-    """A hash of what a key stands for, so that its reuse for other work shows.
+    """Return a hash of the request, to detect reuse of its key for another one.
 
-    Empty for a request that knows only the key: a commit or an outcome.
+    Empty for requests that have only the key: commits and outcome queries.
     """
     if request.verb is not Verb.QUERY or request.statement is None:
         return ""
--- a/packages/core/gypsum_core/load.py
+++ b/packages/core/gypsum_core/load.py
@@ -1,4 +1,4 @@
-"""Slots of each upstream and the time its work takes."""
+"""Slots and service times of upstreams."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class UpstreamLoad:
-    """One upstream's slots, what runs in them and how long that takes."""
+    """Slots of one upstream, how many are in use, and mean service time in seconds."""
 
     slots: int
     running: int = 0
@@ -17,7 +17,7 @@
 
     @property
     def free_slots(self):
-        """How many more statements it may run at once."""
+        """Number of statements that may still be started."""
         return max(0, self.slots - self.running)
 
     @property
@@ -26,20 +26,20 @@
         return self.service_time * (1.0 + self.running / max(1, self.slots))
 
     def start(self):
-        """A statement starts."""
+        """Occupy a slot."""
         self.running += 1
 
     def finish(self, seconds):
-        """A statement ended after `seconds` (None: it did not run to its end)."""
+        """Release a slot and record the service time; None if it was cut short."""
         self.running = max(0, self.running - 1)
         if seconds is not None:
             self.service_time += SMOOTHING * (seconds - self.service_time)
 
 
 def expected_wait(*, ahead, share, slots, service_time):
-    """Seconds until a request behind `ahead` others of its member is served.
+    """Return the seconds until a request behind `ahead` of its member's is served.
 
-    `share` is the part of the slots that the member's weight gives it among the
-    members that wait.
+    `share` is the fraction of the slots that the member's weight gives it among the
+    members with queued requests.
     """
     return (ahead + 1) * service_time / max(slots * share, 1e-9)
--- a/packages/core/gypsum_core/readplacer.py
+++ b/packages/core/gypsum_core/readplacer.py
@@ -1,4 +1,4 @@
-"""Where a read may lawfully go, and where it should."""
+"""Choice of the upstreams that may serve a read, and of the fastest of them."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -7,7 +7,11 @@
 
 
 class Place(StrEnum):
-    """Outcome of placing a read."""
+    """Where a read goes, or what it waits for.
+
+    ROUND waits for a round of statuses, CATCH_UP for a replica to apply more of
+    the log, STUCK for a primary.
+    """
 
     REPLICA = "replica"
     PRIMARY = "primary"
@@ -21,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Placement:
-    """Where a read goes; `upstreams` are the lawful replicas."""
+    """Where a read goes; `upstreams` are the eligible replicas."""
 
     place: Place
     upstreams: tuple[str, ...] = ()
@@ -30,14 +34,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class ReadCounts:
-    """Reads by where they were served, for the replica share."""
+    """Number of reads served by replicas, and by the primary with reasons."""
 
     replica: int = 0
     primary: int = 0
     why: dict[str, int] = field(default_factory=dict)
 
     def record(self, job, upstream, primary):
-        """Count one served read."""
+        """Count a served read."""
         if upstream != primary:
             self.replica += 1
             return
@@ -47,7 +51,7 @@
 
 
 class ReadPlacer:
-    """Places reads by what the group view proves."""
+    """Places reads on upstreams that are proven to be fresh enough."""
 
     def __init__(self, *, ctx, view, failover, recent_writers, loads, leaving):
         self.ctx = ctx
@@ -59,21 +63,21 @@
         self.counts = ReadCounts()
 
     def recent_writes_known(self, job, claimed):
-        """Tell whether the recent writers' table is complete for this read.
+        """Return whether the recent writers' table is complete for this read.
 
-        True when, at some time after the read arrived, the group's claim still
-        named us and no newer primary had acknowledged anything.
+        True if at some time after the read arrived the group's claim still named
+        this daemon and no newer primary had acknowledged a write.
         """
         return claimed and self.view.verified_at() >= job.arrived
 
     def floor(self, job):
-        """The position that the answer must show."""
+        """Return the log position that the answer must reflect."""
         if job.request.session is not None:
             return job.request.session
         return self.recent_writers.required_position(job.caller)
 
     def is_fresh(self, job, upstream):
-        """Tell whether an upstream's data is proved to be young enough."""
+        """Return whether an upstream's data is proven to be within the maximum age."""
         as_of = self.view.as_of(upstream)
         if as_of >= job.arrived:
             return True
@@ -83,7 +87,7 @@
         return age * 1000 <= job.kind.max_age_ms
 
     def place(self, job, claimed):
-        """Decide where a read goes now."""
+        """Return the placement of a read by the current group view."""
         needs_recent_writes = job.request.session is None
         if needs_recent_writes and not self.recent_writes_known(job, claimed):
             return Placement(place=Place.ROUND)
@@ -101,7 +105,7 @@
         return self.place_primary(job, floor)
 
     def place_primary(self, job, floor):
-        """Send a read to the primary if that is proved to be current."""
+        """Place a read on the primary if that is proven to be current."""
         why = Reason.REPLICAS_BEHIND
         primary = self.view.primary
         if primary is None or self.view.term < floor.term:
@@ -111,7 +115,7 @@
         return Placement(place=Place.PRIMARY, why=why)
 
     def usable_replicas(self):
-        """Replicas that answer, follow this term and do not leave."""
+        """Return replicas that answer, follow the current term and are not leaving."""
         return [
             name
             for name in self.view.upstreams
@@ -123,11 +127,11 @@
         ]
 
     def replica_catches_up_soon(self, job, usable, floor):
-        """Tell whether a replica's trend says that it covers this read soon.
+        """Return whether a replica is expected to reach the read's position soon.
 
-        What was written at t shows at a replica of lag l at about t + l. Without
-        this a read that is only just not covered, or covered since the last look,
-        goes to the primary.
+        A write at time t is visible at a replica with lag l at about t + l. Without
+        the wait, reads would go to the primary although a replica lacks little, or
+        has caught up since its last status.
         """
         if job.waited_for_replica or job.kind.max_age_ms <= 0:
             return False
@@ -139,7 +143,7 @@
         return min(ready, default=float("inf")) <= self.ctx.now + wait
 
     def fastest(self, upstreams):
-        """The replica with a free slot and the least expected delay, or None."""
+        """Return the replica with a free slot and the least expected delay, or None."""
         free = [name for name in upstreams if self.loads[name].free_slots]
         return min(
             free, key=lambda name: (self.loads[name].expected_delay, name), default=None
--- a/packages/core/gypsum_core/readscheduler.py
+++ b/packages/core/gypsum_core/readscheduler.py
@@ -1,18 +1,18 @@
-"""Where a home puts a read now, and when it looks again."""
+"""Queueing of reads, and of reads that cannot be placed yet."""
 
 from gypsum_core.readplacer import CATCH_UP_STEP, Place
 from gypsum_core.timers import CATCH_UP
 
 
 class ReadScheduler:
-    """Queues reads where they may lawfully run, or lets them wait for knowledge."""
+    """Queues reads for eligible upstreams, or until enough statuses have arrived."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
     def place_read(self, job):
-        """Queue a read where it may lawfully run, or wait for knowledge."""
+        """Queue a read for an eligible upstream, or until it can be placed."""
         placement = self.home.read_placer.place(job, self.home.claim.held)
         if placement.place is Place.REPLICA:
             self.send_to_replica(job, placement.upstreams)
@@ -27,7 +27,7 @@
         self.home.waiting_reads.append(job)
 
     def send_to_replica(self, job, upstreams):
-        """Start a read at a free replica, or queue it if there is time."""
+        """Start a read at a free replica, or queue it if its deadline allows."""
         if not self.home.replica_queue and not self.home.deferred_reads:
             upstream = self.home.read_placer.fastest(upstreams)
             if upstream is not None:
@@ -45,7 +45,7 @@
         self.home.admission.refuse_displaced(queue, member, slots, service_time)
 
     def start_wait_timer(self, job):
-        """Bound the wait for a replica that is about to cover a read."""
+        """Limit the wait for a replica that is about to reach the read's position."""
         job.waited_for_replica = True
         self.ctx.set_timer(
             self.ctx.tuning.replica_wait,
@@ -55,14 +55,14 @@
         )
 
     def place_waiting_reads(self):
-        """Place the reads that waited for knowledge again."""
+        """Try again to place the waiting reads."""
         waiting, self.home.waiting_reads = self.home.waiting_reads, []
         for job in waiting:
             if not job.closed:
                 self.place_again(job)
 
     def place_again(self, job):
-        """Place a waiting read unless its bounded wait still runs."""
+        """Place a waiting read, unless it still waits for a replica or a status."""
         placement = self.home.read_placer.place(job, self.home.claim.held)
         catching_up = job.step == CATCH_UP_STEP and (placement.place is Place.PRIMARY)
         stuck = placement.place in (Place.ROUND, Place.STUCK)
@@ -74,7 +74,7 @@
         self.place_read(job)
 
     def on_wait_expired(self, request_id):
-        """The bounded wait for a replica is over."""
+        """Place a read whose wait for a replica has reached its limit."""
         job = self.home.jobs.get(request_id)
         if job is None or job not in self.home.waiting_reads:
             return
--- a/packages/core/gypsum_core/recentwriters.py
+++ b/packages/core/gypsum_core/recentwriters.py
@@ -1,4 +1,4 @@
-"""Who wrote last: the home's bounded table for callers without a token."""
+"""Bounded table of callers' last writes, for callers without a session token."""
 
 from collections import OrderedDict
 
@@ -9,9 +9,9 @@
     """Last write position of each caller, complete above `floor`.
 
     A caller that lost its token must still see its last write. The table is
-    complete for writes after the claim that `floor` stands for, since the group
-    refuses writes of a daemon that does not hold the claim. What is cut from the
-    table raises the floor, so cutting can only send reads to the primary.
+    complete for writes after `floor`, the position of our claim, since the group
+    refuses writes of daemons that do not hold the claim. Evicting an entry raises
+    the floor, so it can only cause more reads at the primary.
     """
 
     def __init__(self, *, limit):
@@ -20,12 +20,12 @@
         self.positions = OrderedDict()
 
     def reset(self, floor):
-        """Start anew: everything up to `floor` may be anyone's write."""
+        """Clear the table: writes up to `floor` may be of any caller."""
         self.floor = max(self.floor, floor)
         self.positions.clear()
 
     def record(self, caller, position):
-        """Note a caller's write."""
+        """Record the position of a caller's write."""
         previous = self.positions.pop(caller, position)
         self.positions[caller] = max(previous, position)
         if len(self.positions) > self.limit:
@@ -33,5 +33,5 @@
             self.floor = max(self.floor, evicted)
 
     def required_position(self, caller):
-        """The position that the caller's next read must cover."""
+        """Return the position that the caller's next read must reflect."""
         return self.positions.get(caller, self.floor)
--- a/packages/core/gypsum_core/responses.py
+++ b/packages/core/gypsum_core/responses.py
@@ -1,4 +1,4 @@
-"""What a home makes of the answers of upstreams."""
+"""Handling of upstreams' responses at a home."""
 
 from dataclasses import replace
 
@@ -11,20 +11,20 @@
 
 
 class ResponseHandler:
-    """Turns upstreams' answers into final answers, retries or suspicion."""
+    """Turns responses into final answers, retries or checks of the upstream."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
     def settle(self, job):
-        """Look a key's outcome up in the ledger instead of running the request."""
+        """Look up the outcome of a key in the ledger instead of running the request."""
         job.settling = True
         job.may_have_run = True
         self.home.admission.enqueue_primary(job, first=True)
 
     def on_response(self, event):
-        """Take in the answer to an operation; unknown ones are late: dropped."""
+        """Handle the response to an operation; drop one that is no longer pending."""
         operation = self.home.operations.pop(event.op, None)
         if operation is None:
             return
@@ -45,7 +45,7 @@
         self.home.dispatch.start_queued()
 
     def on_status(self, operation, status):
-        """A status came back: from a probe or a group verb."""
+        """Handle a status from a probe, fence, promotion, follow or claim."""
         self.home.watch.answer_asker(operation, heard=True)
         if operation.kind is OperationKind.CLAIM:
             self.home.claim.on_answer(status)
@@ -59,7 +59,7 @@
         self.home.dispatch.start_queued()
 
     def on_ran(self, operation, event):
-        """A statement ran at its upstream."""
+        """Handle the result of a statement."""
         self.home.failover.heard(operation.upstream)
         job = operation.job
         if operation.kind is OperationKind.READ:
@@ -74,15 +74,15 @@
             self.on_committed(job, operation, event.result, event.position)
 
     def answer_read(self, job, operation, result):
-        """Answer a read with the proven age of its data."""
+        """Answer a read with the proven maximum age of its data."""
         if job.closed:
             return
         age = max(0.0, self.ctx.now - operation.as_of)
         current = operation.as_of >= job.arrived
         if not current and age * 1000 > job.kind.max_age_ms:
-            # The data was young enough when it was asked for but lay about, for
-            # instance while this process was stopped. Ask for current data: that
-            # stays right however long it takes.
+            # The result has become too old since the read was sent, for instance
+            # while this process was suspended. Request current data instead: its
+            # age counts from this request's arrival and cannot expire again.
             job.request = replace(job.request, current=True)
             self.home.read_scheduler.place_read(job)
             return
@@ -103,7 +103,7 @@
         )
 
     def on_committed(self, job, operation, result, position):
-        """A write is in the primary's log; it waits for its majority."""
+        """Record a write that is in the primary's log and wait for a majority."""
         self.home.view.observed(
             sent_at=operation.sent_at, position=position, by=operation.upstream
         )
@@ -116,9 +116,10 @@
     def await_majority(self, job, operation, result, position):
         """Hold a write, or a settled key, until a majority has its position.
 
-        What goes wrong without the check: the primary is replaced between the commit
-        and the question for its position, discards the write and tells a position of
-        the new term, which a majority holds. The ledger knows what became of it.
+        A position of another term confirms nothing: the primary may have been
+        replaced between the commit and the query for its position. It then
+        discarded the write and reports a position of the new term, which a majority
+        holds. Such a write is looked up in the ledger.
         """
         if position.term != operation.term:
             self.requeue(job)
@@ -129,7 +130,7 @@
         self.confirm_writes()
 
     def confirm_writes(self):
-        """Answer the writes that a majority holds by now."""
+        """Answer the writes that a majority holds."""
         for job in self.home.unconfirmed_writes.take_confirmed():
             if job.closed:
                 continue
@@ -141,7 +142,7 @@
             self.home.finish(job, done_answer(job))
 
     def on_settled(self, operation, event):
-        """The ledger decided a key; the decision needs a majority as well."""
+        """Handle a key's outcome from the ledger; it needs a majority as well."""
         self.home.failover.heard(operation.upstream)
         job = operation.job
         job.settling = True
@@ -150,7 +151,7 @@
         self.await_majority(job, operation, event.result, event.position)
 
     def on_failed(self, operation, event):
-        """An operation failed: decide whether to answer, retry or suspect."""
+        """Handle a failure: answer, retry, or check whether the upstream is alive."""
         self.home.watch.answer_asker(operation, heard=False)
         if operation.kind is OperationKind.CLAIM:
             self.home.claim.on_failure()
@@ -186,7 +187,7 @@
         self.retry(operation, event.detail)
 
     def retry(self, operation, detail):
-        """Requeue a job: reads are harmless, the ledger guards the writes."""
+        """Retry a job: reads have no effects, the ledger prevents duplicate writes."""
         job = operation.job
         if job.request.verb in (Verb.TX_QUERY, Verb.ROLLBACK):
             self.home.refuse(
@@ -213,8 +214,8 @@
     def requeue(self, job):
         """Queue a job whose first attempt may have taken effect.
 
-        A write runs again under its key. A commit cannot: its transaction died
-        with its connection, so only the ledger can tell what became of it.
+        A write runs again under its key. A commit cannot: its transaction ended
+        with its connection, so its outcome is looked up in the ledger.
         """
         if job.request.verb is Verb.COMMIT:
             self.home.transactions.remove(job.request.tx)
--- a/packages/core/gypsum_core/router.py
+++ b/packages/core/gypsum_core/router.py
@@ -1,4 +1,4 @@
-"""The entry: takes callers' requests to their home and answers them once."""
+"""Routing of callers' requests to their home, and of the answers back."""
 
 from dataclasses import dataclass, field, replace
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class PendingRequest:
-    """A request on its way. `sent` says that a home may have worked on it."""
+    """A request without an answer yet; once `sent`, a home may have run it."""
 
     request: Request
     received_at: float
@@ -27,7 +27,7 @@
 
 
 class RequestRouter:
-    """Forwards requests to homes, retries where that is safe, answers callers."""
+    """Forwards requests to homes, retries where safe, answers each caller once."""
 
     def __init__(self, *, ctx, peers, node):
         self.ctx = ctx
@@ -37,7 +37,7 @@
         self.check_scheduled = False
 
     def submit(self, request):
-        """Take a caller's request."""
+        """Validate a caller's request and forward it to its home."""
         spec = self.node.spec(request.database)
         if spec is None:
             self.reject(request, f"unknown database {request.database!r}")
@@ -62,16 +62,16 @@
         self.forward(self.pending[request.id])
 
     def reject(self, request, problem):
-        """Answer a request that is wrong in itself."""
+        """Answer an invalid request."""
         self.refuse(request, Reason.BAD_REQUEST, problem)
 
     def refuse(
         self, request, reason, detail, *, retry_after=0.0, outcome_unknown=False
     ):
-        """Answer that a request was not run, or that this is not known.
+        """Answer that a request was not run, or that its outcome is unknown.
 
-        Who asks for an outcome and does not learn it knows nothing: "not run" would
-        speak of the write that the key stands for.
+        A failed outcome query is always answered as unknown: its caller would take
+        "not run" as the outcome of the write with that key.
         """
         outcome_unknown = outcome_unknown or request.verb is Verb.OUTCOME
         self.reply(
@@ -89,18 +89,18 @@
         )
 
     def reply(self, answer):
-        """Give the caller its one answer."""
+        """Send the caller its final answer."""
         self.pending.pop(answer.request, None)
         self.ctx.emit(Reply(answer=answer))
 
     def on_caller_gone(self, request_id):
-        """The caller hung up: nobody waits for the answer."""
+        """Forget a request whose caller has disconnected."""
         self.pending.pop(request_id, None)
 
     # Routing
 
     def forward(self, pending, to=""):
-        """Send a request to its home: the first usable daemon of the order."""
+        """Send a request to its home, the first usable daemon in the order."""
         request = pending.request
         if request.verb in IN_TRANSACTION:
             self.forward_in_transaction(pending)
@@ -114,10 +114,10 @@
         self.send_to_home(pending, target)
 
     def next_target(self, pending):
-        """The first usable daemon of the order that was not tried yet.
+        """Return the first usable daemon in the order that was not tried yet.
 
-        When none is, the first that was not tried: a link that broke a moment ago
-        may be open again, and nothing is lost by asking.
+        If none is usable, returns the first untried one: a link that broke a moment
+        ago may be open again. Returns an empty string if all were tried.
         """
         order = self.node.order(pending.request.database)
         untried = [name for name in order if name not in pending.tried]
@@ -136,8 +136,8 @@
             self.send_to_home(pending, owner)
             return
         if pending.request.verb is Verb.COMMIT:
-            # The commit may have taken effect before its daemon went: only the
-            # ledger knows. Any home can ask it.
+            # The commit may have taken effect before its daemon was lost. The
+            # outcome is in the ledger, which any home can query.
             pending.request = replace(
                 pending.request, verb=Verb.OUTCOME, tx="", kind=""
             )
@@ -149,7 +149,7 @@
         )
 
     def send_to_home(self, pending, target):
-        """Hand a request to a home, here or on another daemon."""
+        """Send a request to a home on this or another daemon."""
         pending.target = target
         pending.tried.add(target)
         if target == self.ctx.daemon:
@@ -162,7 +162,7 @@
         self.schedule_check()
 
     def fail(self, pending, reason, detail):
-        """Give up on a request that no home can take."""
+        """Refuse a request that no home can serve."""
         self.refuse(
             pending.request,
             reason,
@@ -174,7 +174,7 @@
     # Answers
 
     def on_answer(self, answer):
-        """A home gave its final answer; a second one for the request is dropped."""
+        """Pass on a home's final answer; drop later ones for the same request."""
         pending = self.pending.get(answer.request)
         if pending is None:
             return
@@ -186,10 +186,10 @@
         self.reply(answer)
 
     def is_too_old(self, pending, answer):
-        """Tell whether an answer may have aged too much on its way.
+        """Return whether an answer's data may have become too old on its way.
 
-        What goes wrong without it: an answer lies in a stopped process or a slow
-        link and is passed on as if it were still young enough.
+        An answer delayed in a suspended process or on a slow link would otherwise
+        be passed on as if it were still within the maximum age.
         """
         if answer.outcome is not Outcome.DONE or answer.current:
             return False
@@ -197,7 +197,7 @@
         return answer.age_ms + elapsed * 1000 > pending.max_age_ms
 
     def on_redirect(self, request_id, to):
-        """A home cannot serve the request and knows who might."""
+        """Forward a request that its home redirected to another daemon."""
         pending = self.pending.get(request_id)
         if pending is None:
             return
@@ -210,25 +210,25 @@
         self.forward(pending, to=to if usable else "")
 
     def on_peer_lost(self, peer):
-        """A daemon went away or silent: its requests go to the next in the order.
+        """Forward the requests of a lost or silent daemon to the next in the order.
 
-        A write may have been run there. It goes on under the same ledger key, so
-        that it takes effect once, wherever the two attempts meet.
+        A write may have run there already. It is sent under the same ledger key, so
+        it takes effect only once.
         """
         for pending in [item for item in self.pending.values() if item.target == peer]:
             self.forward(pending)
 
-    # Watching homes
+    # Liveness of homes
 
     def schedule_check(self):
-        """Look after the daemons that requests are waiting for."""
+        """Schedule a liveness check of the daemons that requests wait for."""
         if self.check_scheduled:
             return
         self.check_scheduled = True
         self.ctx.set_timer(CHECK_INTERVAL, part=PART)
 
     def on_timer(self, timer):
-        """A deadline is over, or it is time to look after the homes."""
+        """Handle a request's deadline or the liveness check of homes."""
         if timer.detail:
             self.on_deadline(timer.detail)
             return
@@ -237,7 +237,10 @@
         targets.discard(self.ctx.daemon)
         for target in targets:
             if not self.peers.check(target):
-                self.ctx.log(PART, f"{target} is silent, its requests move on")
+                self.ctx.log(
+                    PART,
+                    f"{target} is silent, forwarding its requests to other daemons",
+                )
                 self.ctx.emit(DropLink(peer=target))
                 self.peers.lost(target)
                 self.on_peer_lost(target)
@@ -245,7 +248,7 @@
             self.schedule_check()
 
     def on_deadline(self, request_id):
-        """The home did not answer in time."""
+        """Refuse a request whose home did not answer in time."""
         pending = self.pending.get(request_id)
         if pending is None:
             return
@@ -258,7 +261,7 @@
 
 
 def max_age_for(spec, request):
-    """The age in milliseconds that the answer's data may have."""
+    """Return the maximum age of the answer's data in milliseconds."""
     kind = spec.kind_by_name.get(request.kind)
     if request.verb is not Verb.QUERY or kind is None or kind.mode is not Mode.READ:
         return float("inf")
--- a/packages/core/gypsum_core/transactionmanager.py
+++ b/packages/core/gypsum_core/transactionmanager.py
@@ -1,4 +1,4 @@
-"""Interactive transactions at a home: begin, statements, ends, losses."""
+"""Lifecycle of interactive transactions at a home."""
 
 from dataclasses import replace
 
@@ -11,14 +11,14 @@
 
 
 class TransactionManager:
-    """Keeps each transaction on its own connection and ends it for good."""
+    """Opens transactions, runs their statements in order, and ends them."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
     def submit(self, job):
-        """Hand a statement, commit or rollback to its transaction."""
+        """Queue a statement, commit or rollback in its transaction."""
         tx = self.home.transactions.find(job.request.tx, job.request.member)
         if tx is None and job.request.verb is Verb.COMMIT:
             self.home.responses.settle(job)
@@ -31,7 +31,7 @@
             self.start_next(tx.tx)
 
     def begin(self, job, primary):
-        """Open a transaction, unless too many hold connections already."""
+        """Open a transaction, unless the limit of open transactions is reached."""
         upstream = self.home.spec.upstream_by_id[primary]
         limit = int(upstream.connections * self.ctx.tuning.home_share) - upstream.slots
         if len(self.home.transactions) >= max(1, limit):
@@ -49,7 +49,7 @@
         )
 
     def roll_back(self, job):
-        """End a transaction without its effects."""
+        """Roll back a transaction at its caller's request."""
         tx = self.home.transactions.remove(job.request.tx)
         if tx:
             self.abort(tx)
@@ -59,7 +59,7 @@
         )
 
     def abort(self, tx):
-        """Roll a transaction back; whoever waits in it learns at once."""
+        """Roll back a transaction and refuse its waiting statements."""
         self.ctx.emit(
             actions.TxAbort(
                 op=self.ctx.next_op(),
@@ -78,7 +78,7 @@
             self.home.refuse(job, Reason.TRANSACTION_LOST, "the transaction has ended")
 
     def on_opened(self, job, operation):
-        """A transaction is open; if nobody waits for it any more, end it."""
+        """Add an opened transaction, or roll it back if its request has ended."""
         tx = Transaction(
             tx=job.request.tx,
             member=job.request.member,
@@ -102,7 +102,7 @@
         )
 
     def on_statement_done(self, job, result):
-        """A statement of a transaction ran; the next one may go."""
+        """Answer a statement of a transaction and start the next one."""
         self.home.finish(
             job,
             Answer(
@@ -133,7 +133,7 @@
             return
 
     def on_failed(self, operation, event):
-        """A statement or commit failed inside a transaction."""
+        """Handle a failed statement or commit of a transaction."""
         job = operation.job
         name = job.request.tx
         tx = self.home.transactions.open.get(name)
@@ -163,23 +163,23 @@
         self.home.refuse(job, reason, event.detail, peer=operation.upstream)
 
     def retry_commit(self, job, operation):
-        """Claim the group back and repeat a commit; its transaction is still open.
+        """Claim the group again and retry a commit; its transaction is still open.
 
-        What goes wrong otherwise: another home takes over, in a drain or because
-        the list changed, and every transaction open here fails at its commit.
+        Otherwise every open transaction would fail at its commit when another home
+        takes over, in a drain or after a change of the instance list.
         """
         job.may_have_run = operation.may_have_run_before
         self.home.watch.lost_claim(operation.upstream)
         self.home.transaction_jobs.append(job)
 
     def abort_for(self, job):
-        """End the transaction whose statement outlived its caller's deadline."""
+        """Roll back the transaction of a statement that ran past its deadline."""
         tx = self.home.transactions.remove(job.request.tx)
         if tx:
             self.abort(tx)
 
     def abort_idle(self):
-        """Roll back the transactions of callers that have gone."""
+        """Roll back the transactions that have been idle for too long."""
         for tx in self.home.transactions.idle(self.ctx.now, self.ctx.tuning.tx_idle):
             self.home.transactions.remove(tx.tx)
             self.ctx.log(PART, f"{self.home.spec.name}: rolled back idle transaction")
--- a/packages/core/gypsum_core/transactions.py
+++ b/packages/core/gypsum_core/transactions.py
@@ -1,4 +1,4 @@
-"""Interactive transactions: each pinned to one connection, one caller."""
+"""Open interactive transactions, each pinned to one connection and one member."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Transaction:
-    """An open transaction. `busy` while a statement of it runs."""
+    """An open transaction; `busy` while one of its statements runs."""
 
     tx: str
     member: str
@@ -22,10 +22,9 @@
 class Transactions:
     """The open transactions of one home.
 
-    What goes wrong without the pinning: a statement of one caller runs inside
-    another's transaction and is committed or rolled back with it. A name is
-    random, belongs to one member and dies with its connection, which is never
-    reused after an abnormal end.
+    Names are random, belong to one member and end with their connection, which is
+    never reused after an abnormal end. Otherwise a caller's statement could run
+    inside another's transaction and be committed or rolled back with it.
     """
 
     def __init__(self):
@@ -35,20 +34,20 @@
         return len(self.open)
 
     def add(self, tx):
-        """Open a transaction."""
+        """Add an open transaction."""
         self.open[tx.tx] = tx
 
     def find(self, name, member):
-        """The transaction of that name if it belongs to the member."""
+        """Return the transaction of that name if it belongs to the member, or None."""
         tx = self.open.get(name)
         return tx if tx and tx.member == member else None
 
     def remove(self, name):
-        """Forget a transaction that ended; None if there was none."""
+        """Remove and return a transaction; None if there is none of that name."""
         return self.open.pop(name, None)
 
     def idle(self, now, limit):
-        """Transactions whose caller has said nothing for `limit` seconds."""
+        """Return transactions that have been idle for `limit` seconds."""
         return [
             tx
             for tx in self.open.values()
@@ -56,7 +55,7 @@
         ]
 
     def opened_elsewhere(self, primary, term):
-        """Transactions that were opened at another primary or term."""
+        """Return transactions that were opened at another primary or term."""
         return [
             tx for tx in self.open.values() if tx.upstream != primary or tx.term != term
         ]
--- a/packages/core/gypsum_core/unconfirmedwrites.py
+++ b/packages/core/gypsum_core/unconfirmedwrites.py
@@ -1,4 +1,4 @@
-"""Writes between their commit at the primary and their answer."""
+"""Writes committed at the primary that a majority does not have yet."""
 
 from gypsum_core.records import Answer, Outcome
 
@@ -11,11 +11,11 @@
 class UnconfirmedWrites:
     """Holds committed writes until a majority of the group has them.
 
-    `mean_write_time` is how many seconds a write takes from its sending to that point.
+    `mean_write_time` is the mean time in seconds from sending a write to that point.
 
-    What goes wrong without it: a primary acknowledges, dies, and the replica
-    promoted in its place never had the write. Or a primary that was replaced
-    without knowing it acknowledges writes that nobody will ever see.
+    Answered earlier, a write could be lost: its primary fails and the promoted
+    replica doesn't have it, or the primary had already been replaced without knowing
+    it.
     """
 
     def __init__(self, *, ctx, view):
@@ -25,7 +25,7 @@
         self.mean_write_time = 0.0
 
     def add(self, job, *, result, position, served_by):
-        """A write committed at `position`; it is not done yet."""
+        """Add a write that committed at `position`."""
         job.result = result
         job.position = position
         job.served_by = served_by
@@ -35,28 +35,31 @@
         self.jobs.append(job)
 
     def oldest_wait(self):
-        """Seconds that the oldest write has been waiting for confirmation.
+        """Return for how many seconds the oldest write has been unconfirmed.
 
-        Counted from its commit: the time it stood in the queue says nothing about
-        the replicas.
+        Counted from its commit, since the time in the queue doesn't depend on the
+        replicas.
         """
         if not self.jobs:
             return 0.0
         return self.ctx.now - self.jobs[0].committed_at
 
     def is_stalled(self):
-        """Tell whether no replica keeps up with the primary."""
+        """Return whether no replica keeps up with the primary."""
         return self.oldest_wait() > self.ctx.tuning.confirm_stalled
 
     def round_interval(self):
-        """Seconds until the next look at the replicas' log ends."""
+        """Return the seconds until replicas are asked again for their log ends.
+
+        The interval grows with the wait: 1/ROUNDS_PER_WAIT of it, within bounds.
+        """
         return min(
             MAX_ROUND_INTERVAL,
             max(MIN_ROUND_INTERVAL, self.oldest_wait() / ROUNDS_PER_WAIT),
         )
 
     def take_confirmed(self):
-        """Remove and return the writes that a majority holds now."""
+        """Remove and return the writes that a majority has."""
         self.jobs = [job for job in self.jobs if not job.closed]
         confirmed = [
             job
@@ -71,7 +74,7 @@
         return confirmed
 
     def take_outdated(self):
-        """Remove and return the writes of a term that is no longer in force.
+        """Remove and return the writes of an earlier term or primary.
 
         Their outcome is looked up in the ledger at the new primary.
         """
@@ -85,7 +88,7 @@
 
 
 def done_answer(job):
-    """The answer to a confirmed write, commit or settled outcome."""
+    """Return the answer to a confirmed write, commit or outcome query."""
     return Answer(
         request=job.request.id,
         outcome=Outcome.DONE,
