--- a/soak/book.py
+++ b/soak/book.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from soak.workspaces import workspace_of
-from tests.promises import Promises
+from tests.guarantees import GuaranteeChecker
 
 # A leaving upstream takes no new work after this, seconds: the daemons' own limit, and
 # a second for the store's news.
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Book(Promises):
+class Book(GuaranteeChecker):
     """The promises of statements, and those of drains, configurations and answers.
 
     `calm_since` is since when no trouble was on, infinite during one; `leaving` is when
@@ -62,7 +62,7 @@
             )
         )
 
-    def has_set(self, session, values, at):
+    def values_match(self, session, values, at):
         """Tell whether a session had these values at a time.
 
         What upstreams ran is told by another process than what callers heard, so the
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -6,7 +6,7 @@
 
 from gypsum_sessions.catalog import ReadRule
 from soak.fleet import connect
-from tests.promises import Acked, SentRead
+from tests.guarantees import AckedWrite, SentRead
 
 RULES = {
     "primary": ReadRule.PRIMARY,
@@ -119,10 +119,10 @@
         """Note what a caller was told of its writes."""
         if end == "COMPLETE":
             self.book.acked.append(
-                Acked(data=tuple(data), at=time.monotonic(), session=self.name)
+                AckedWrite(data=tuple(data), at=time.monotonic(), session=self.name)
             )
         elif end in PROMISES:
-            self.book.promised += data
+            self.book.refused_writes += data
 
     async def set(self):
         """A value of the session."""
@@ -156,7 +156,7 @@
             await asyncio.sleep(self.rng.random() * 0.2)
         if end != "COMPLETE" or self.rng.random() < 0.2:
             await self.query("ROLLBACK")
-            self.book.promised += wrote
+            self.book.refused_writes += wrote
             return
         request = self.client.next_request
         self.book.transactions[request] = self.name
--- a/tests/promises.py
+++ b/tests/guarantees.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Acked:
+class AckedWrite:
     """Writes that a caller was told are kept."""
 
     data: tuple[str, ...]
@@ -34,18 +34,18 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Promises:
+class GuaranteeChecker:
     """The book of one run: what was sent, told and run."""
 
-    acked: list[Acked] = field(default_factory=list)
-    promised: list[str] = field(default_factory=list)
+    acked: list[AckedWrite] = field(default_factory=list)
+    refused_writes: list[str] = field(default_factory=list)
     values: dict[int | str, dict[str, str]] = field(default_factory=dict)
     reads: dict[str, SentRead] = field(default_factory=dict)
     transactions: dict[str, int | str] = field(default_factory=dict)
     owners: dict[object, int | str] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
 
-    def has_set(self, session, values, at):
+    def values_match(self, session, values, at):
         """Tell whether a session had these values at a time; here: has them now."""
         return values == self.values.get(session, {})
 
@@ -54,7 +54,7 @@
 
         `conn` stands for the connection, `values` are those set on it.
         """
-        if not self.has_set(session, values, at):
+        if not self.values_match(session, values, at):
             self.broken.append(f"PINNED {request}: values {values}")
         owner = self.owners.get(conn)
         if in_transaction and owner not in (None, session):
@@ -84,7 +84,7 @@
         for item in self.acked:
             if not set(item.data) <= set(kept):
                 self.broken.append(f"LOST {item.data}")
-        for data in self.promised:
+        for data in self.refused_writes:
             if data in kept:
                 self.broken.append(f"REFUSED {data}")
         if len({token for token, _ in orders}) != len(set(orders)):
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from gypsum_sessions.replies import Refusal, SessionState
-from tests.promises import Acked, Promises, SentRead
+from tests.guarantees import AckedWrite, GuaranteeChecker, SentRead
 from tests.sessions.fakegroup import FakeMember
 from tests.sessions.rig import FakeCaller, Rig
 from tests.sessions.vclock import run
@@ -17,7 +17,7 @@
 PROMISES = {Refusal.BUSY, Refusal.ABORTED, Refusal.LAGGING, Refusal.READ_ONLY}
 
 
-class Watch(Promises):
+class Watch(GuaranteeChecker):
     """Takes in what the upstreams of a rig ran."""
 
     def __init__(self, *, rig):
@@ -104,10 +104,10 @@
     reply = await caller.send(f"WRITE {data} {data}")
     if reply.ok:
         watch.acked.append(
-            Acked(data=(data,), at=rig.loop.clock(), session=caller.number)
+            AckedWrite(data=(data,), at=rig.loop.clock(), session=caller.number)
         )
     elif reply.refusal in PROMISES:
-        watch.promised.append(data)
+        watch.refused_writes.append(data)
 
 
 async def transaction(rig, watch, rng, caller):
@@ -132,20 +132,20 @@
     failed = reply is not None and not reply.ok
     if failed or rng.random() < 0.2:
         await caller.send("ROLLBACK")
-        watch.promised += wrote
+        watch.refused_writes += wrote
         return
     watch.transactions[caller.next_request] = caller.number
     reply = await caller.send("COMMIT")
     if reply.ok and wrote:
         watch.acked.append(
-            Acked(
+            AckedWrite(
                 data=tuple(wrote),
                 at=rig.loop.clock(),
                 session=caller.number,
             )
         )
     elif reply.refusal in PROMISES:
-        watch.promised += wrote
+        watch.refused_writes += wrote
 
 
 # What may happen. Seeds that showed a fault rest on the order of these.
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,7 +13,7 @@
 from soak.troubles import Troubles
 from soak.wire import Wire
 from soak.workspaces import NAMES, workspace_of
-from tests.promises import Acked, SentRead
+from tests.guarantees import AckedWrite, SentRead
 from tests.standins.platformworld import World
 
 # CI plays these; `make soak` draws others.
@@ -88,7 +88,7 @@
 
 def test_stale_reads_are_noticed():
     made = book("a-2")
-    made.acked.append(Acked(data=("a-1",), at=1.0, session="a"))
+    made.acked.append(AckedWrite(data=("a-1",), at=1.0, session="a"))
     made.reads["a-2"] = SentRead(at=2.0, session="a", rule=ReadRule.READ_YOUR_WRITES)
     made.heard({**ran("a-2"), "event": "read", "lacks": ["a-1"]})
     assert words(made) == ["STALE"]
@@ -151,8 +151,8 @@
 
 def test_the_end_shows_what_was_lost_doubled_kept_or_promoted_twice():
     made = book()
-    made.acked.append(Acked(data=("a",), at=1.0, session="s"))
-    made.promised.append("b")
+    made.acked.append(AckedWrite(data=("a",), at=1.0, session="s"))
+    made.refused_writes.append("b")
     made.finish(["b", "c", "c"], [(1, "d0"), (1, "d1")])
     assert words(made) == ["TWICE", "LOST", "REFUSED", "ONE:"]
 
