--- a/bench/overload.py
+++ b/bench/overload.py
@@ -10,13 +10,13 @@
 from gypsum_core.fairqueue import FairQueue
 from gypsum_core.records import Mode
 from gypsum_core.spec import KindSpec
-from tests.fakes.world import BETWEEN_DOMAINS, JITTER, World, make_spec, put
+from tests.fakes.world import JITTER, LINK_LATENCY, World, make_spec, put
 from tests.invariants import done
 
 SERVICE = 0.01
 SLOTS = 5
 CAPACITY = SLOTS / SERVICE
-ROUND_TRIP = 2 * BETWEEN_DOMAINS * (1 + JITTER / 2)
+ROUND_TRIP = 2 * LINK_LATENCY * (1 + JITTER / 2)
 OCCUPIED = SLOTS / (SERVICE + ROUND_TRIP)
 SECONDS = 6.0
 WARM_UP = 1.0
--- a/tests/fakes/group.py
+++ b/tests/fakes/group.py
@@ -149,7 +149,7 @@
     def occupy(self, server, call):
         """A statement takes a slot for its service time."""
         server.running += 1
-        self.world.reach("running", call)
+        self.world.run_hook("running", call)
         seconds = server.service * self.world.service_factor(call)
         self.clock.after(seconds, self.complete, server, call)
 
@@ -186,7 +186,7 @@
             call.fail(sent=False, detail="no such transaction")
             return
         if call.writes:
-            self.world.reach("committed", call)
+            self.world.run_hook("committed", call)
             if self.servers[call.action.upstream].dead:
                 return
             self.ship(call.action.upstream)
@@ -315,11 +315,11 @@
 
     def send(self):
         """Travel to the member; give up after the action's timeout."""
-        self.world.reach("before_send", self)
+        self.world.run_hook("before_send", self)
         self.host.calls[self.action.op] = self
         self.group.clock.after(self.action.timeout, self.time_out)
         self.travel(self.group.deliver, self)
-        self.world.reach("sent", self)
+        self.world.run_hook("sent", self)
 
     def travel(self, function, *args):
         """One way over the network, unless the path is cut or silent."""
@@ -351,7 +351,7 @@
         self.over = True
         self.host.calls.pop(self.action.op, None)
         if not self.ignored:
-            self.world.reach("answered", self)
+            self.world.run_hook("answered", self)
             self.host.feed(event)
 
     def time_out(self):
--- a/tests/fakes/host.py
+++ b/tests/fakes/host.py
@@ -24,13 +24,13 @@
         self.domain = domain
         self.tuning = tuning
         self.node_class = node_class
-        self.life = 0
+        self.incarnation = 0
         self.replies = {}
         self.boot()
 
     def boot(self):
         """Start a new process."""
-        self.life += 1
+        self.incarnation += 1
         self.alive = True
         self.frozen = False
         self.loaded = False
@@ -43,11 +43,11 @@
         self.node = self.node_class(
             daemon=self.name,
             domain=self.domain,
-            incarnation=str(self.life),
-            rng=Random(f"{self.world.seed}/{self.name}/{self.life}"),
+            incarnation=str(self.incarnation),
+            rng=Random(f"{self.world.seed}/{self.name}/{self.incarnation}"),
             tuning=self.tuning,
         )
-        self.carry_out(self.node.start(self.clock.now))
+        self.execute(self.node.start(self.clock.now))
 
     def feed(self, event):
         """Give the node an event, or keep it while the process is stopped."""
@@ -56,28 +56,28 @@
         if self.frozen:
             self.backlog.append(event)
             return
-        self.carry_out(self.node.handle(event, self.clock.now))
+        self.execute(self.node.handle(event, self.clock.now))
         self.world.after_event(self)
 
-    def carry_out(self, todo):
+    def execute(self, pending):
         """Carry out actions."""
-        for action in todo:
+        for action in pending:
             if isinstance(action, actions.Send):
                 self.world.send(self, action.peer, action.message)
             elif isinstance(action, actions.Reply):
-                self.world.replied(self, action.answer)
+                self.world.on_reply(self, action.answer)
             elif isinstance(action, actions.SetTimer):
                 delay = action.at - self.clock.now
-                self.clock.after(delay, self.timer, self.life, action.timer)
+                self.clock.after(delay, self.timer, self.incarnation, action.timer)
             elif isinstance(action, actions.Log):
                 self.logs.append((self.clock.now, action.part, action.text))
             elif isinstance(action, actions.Exit):
                 self.exited = True
                 self.alive = False
             else:
-                self.carry_out_upstream(action)
+                self.execute_upstream(action)
 
-    def carry_out_upstream(self, action):
+    def execute_upstream(self, action):
         """Carry out what concerns upstreams."""
         if isinstance(action, actions.DropConnections):
             self.generation[action.upstream] += 1
@@ -91,19 +91,19 @@
         elif isinstance(action, actions.UpstreamAction):
             self.world.groups[action.database].start(self, action)
 
-    def timer(self, life, timer):
+    def timer(self, incarnation, timer):
         """A timer is due, unless the process that set it is gone."""
-        if life == self.life:
+        if incarnation == self.incarnation:
             self.feed(TimerFired(timer=timer))
 
     def message(self, peer, message):
         """A message from a peer."""
         if isinstance(message, Changes):
-            self.take_changes(peer, message)
+            self.on_changes(peer, message)
             return
         self.feed(PeerMessage(peer=peer, message=message))
 
-    def take_changes(self, peer, changes):
+    def on_changes(self, peer, changes):
         """Manifests from a peer, as the shell hands them in."""
         manifests = tuple(self.world.manifest_of(entry) for entry in changes.entries)
         self.feed(
@@ -115,10 +115,10 @@
     def kill(self):
         """The process dies."""
         self.alive = False
-        self.life += 1
+        self.incarnation += 1
         for call in list(self.calls.values()):
             call.ignore()
-        self.world.lose_callers(self.name)
+        self.world.disconnect_callers(self.name)
         for group in self.world.groups.values():
             group.forget_transactions(self.name)
         for other in self.world.hosts.values():
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -51,7 +51,7 @@
         accepted = version == expect
         if accepted:
             self.specs[spec.name] = spec
-            self.world.bodies[(spec.name, spec.version)] = spec
+            self.world.manifests[(spec.name, spec.version)] = spec
             self.writers[spec.name] = writer
             self.accepted_at[(spec.name, spec.version)] = self.clock.now
             self.notify()
@@ -75,16 +75,16 @@
 
     def follow(self, host):
         """A host's loops: the instance list and the first listing."""
-        self.clock.after(self.delay(), self.list_instances, host, host.life)
-        self.clock.after(self.delay(), self.load, host, host.life)
+        self.clock.after(self.delay(), self.list_instances, host, host.incarnation)
+        self.clock.after(self.delay(), self.load, host, host.incarnation)
 
-    def list_instances(self, host, life):
+    def list_instances(self, host, incarnation):
         """Give a host the list, again and again."""
-        if host.life != life:
+        if host.incarnation != incarnation:
             return
         if host.node.reads_list():
             self.send_list(host)
-        self.clock.after(LIST_INTERVAL, self.list_instances, host, life)
+        self.clock.after(LIST_INTERVAL, self.list_instances, host, incarnation)
 
     def send_list(self, host):
         """Answer a host's question for the list."""
@@ -94,25 +94,25 @@
         listed = InstancesListed(instances=self.instances, revision=self.list_revision)
         self.clock.after(self.slow, host.feed, listed)
 
-    def load(self, host, life):
+    def load(self, host, incarnation):
         """Give a host everything once, then what it missed if it watches."""
-        if host.life != life:
+        if host.incarnation != incarnation:
             return
         self.calls += 1
         cut = self.world.is_cut(host.name, "platform")
         if not self.down and not cut:
             snapshot = self.snapshot()
             self.clock.after(self.slow, self.send_all, host, snapshot)
-        self.clock.after(WATCH_RETRY, self.watch, host, life)
+        self.clock.after(WATCH_RETRY, self.watch, host, incarnation)
 
-    def watch(self, host, life):
+    def watch(self, host, incarnation):
         """A watcher reconnects and gets what changed while it was away."""
-        if host.life != life:
+        if host.incarnation != incarnation:
             return
         if not host.loaded or host.node.manifests.watches():
-            self.load(host, life)
+            self.load(host, incarnation)
         else:
-            self.clock.after(WATCH_RETRY, self.watch, host, life)
+            self.clock.after(WATCH_RETRY, self.watch, host, incarnation)
 
     def send_all(self, host, snapshot):
         """Hand manifests to a host."""
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -17,10 +17,10 @@
 from tests.fakes.host import Host
 from tests.fakes.platform import FakePlatform, accepted
 
-BETWEEN_DOMAINS = 0.001
+LINK_LATENCY = 0.001
 JITTER = 0.3
-REFUSED_AFTER = 0.002
-CLIENT_PATIENCE = 0.5
+REFUSAL_DELAY = 0.002
+CALLER_TIMEOUT = 0.5
 
 KINDS = (
     KindSpec(name="status", mode=Mode.READ, max_age_ms=2000.0),
@@ -73,7 +73,7 @@
         specs=(),
         service=0.002,
         tuning=DEFAULT_TUNING,
-        latency=BETWEEN_DOMAINS,
+        latency=LINK_LATENCY,
         node_class=None,
     ):
         self.seed = seed
@@ -88,7 +88,7 @@
         self.callers = {}
         self.requests = 0
         self.messages = 0
-        self.bodies = {}
+        self.manifests = {}
         self.platform = FakePlatform(world=self)
         specs = specs or (make_spec(),)
         for spec in specs:
@@ -113,7 +113,7 @@
             world=self, names=names, slots=spec.upstreams[0].slots, service=service
         )
         self.platform.specs[spec.name] = spec
-        self.bodies[(spec.name, spec.version)] = spec
+        self.manifests[(spec.name, spec.version)] = spec
 
     def list_instances(self, *, without=(), leaving=()):
         """Set the platform's list."""
@@ -168,7 +168,7 @@
         if self.is_cut(host.name, peer):
             return
         if target is None or not target.alive:
-            self.clock.after(REFUSED_AFTER, host.feed, PeerLost(peer=peer))
+            self.clock.after(REFUSAL_DELAY, host.feed, PeerLost(peer=peer))
             return
         self.clock.after(
             self.latency(host.name, peer), self.arrive, host.name, target, message
@@ -181,11 +181,11 @@
 
     def manifest_of(self, entry):
         """The manifest that an entry between daemons stands for."""
-        return accepted(self.bodies[(entry.database, entry.version)])
+        return accepted(self.manifests[(entry.database, entry.version)])
 
     # Steps
 
-    def reach(self, step, call):
+    def run_hook(self, step, call):
         """A call reached a step; whoever waits for that acts now."""
         hook = self.hooks.get(step)
         if hook is not None:
@@ -216,7 +216,7 @@
             **fields,
         )
         self.callers[name] = (host, on_answer)
-        self.clock.after(deadline + CLIENT_PATIENCE, self.hang_up, name)
+        self.clock.after(deadline + CALLER_TIMEOUT, self.hang_up, name)
         self.hosts[host].feed(CallerRequest(request=request))
         return request
 
@@ -229,13 +229,13 @@
         self.hosts[host].feed(CallerGone(request=name))
         on_answer(Answer(request=name, outcome=Outcome.UNKNOWN, detail="hung up"))
 
-    def lose_callers(self, host):
+    def disconnect_callers(self, host):
         """A daemon died: its callers' connections break."""
         for name, (other, _) in list(self.callers.items()):
             if other == host:
-                self.clock.after(REFUSED_AFTER, self.hang_up, name)
+                self.clock.after(REFUSAL_DELAY, self.hang_up, name)
 
-    def replied(self, host, answer):
+    def on_reply(self, host, answer):
         """A daemon answers a caller."""
         waiting = self.callers.pop(answer.request, None)
         for observer in self.observers:
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -63,7 +63,7 @@
         """Look at a daemon after each event."""
         for name, manifest in host.node.manifests.in_force.items():
             version = manifest.spec.version
-            key = (host.name, host.life, name)
+            key = (host.name, host.incarnation, name)
             if version < self.versions.get(key, 0):
                 self.broken("9", f"{host.name}: {name} reverted to {version}")
             self.versions[key] = version
--- a/tests/load.py
+++ b/tests/load.py
@@ -22,8 +22,7 @@
         self.resets = []
         self.stopping = threading.Event()
         self.threads = [
-            threading.Thread(target=self.work, args=(number,))
-            for number in range(count)
+            threading.Thread(target=self.run, args=(number,)) for number in range(count)
         ]
 
     def __enter__(self):
@@ -36,7 +35,7 @@
         for thread in self.threads:
             thread.join(60)
 
-    def work(self, number):
+    def run(self, number):
         """Write one name after the other through changing daemons."""
         turn = number
         while not self.stopping.is_set():
@@ -79,7 +78,7 @@
         )
 
 
-def check_once(cluster, writers, daemon):
+def check_exactly_once(cluster, writers, daemon):
     """Every acknowledged name stands once, every refused one not at all."""
     assert writers.acked
     assert not writers.unknown
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.cluster import Cluster
-from tests.load import COUNT, INSERT, Writers, check_once
+from tests.load import COUNT, INSERT, Writers, check_exactly_once
 
 GAP_LIMIT = 20.0
 WORK = 1.0
@@ -41,7 +41,7 @@
         wait_for(lambda: any(by != first for _, _, by in writers.acked))
         time.sleep(WORK)
     assert writers.longest_gap(killed) < GAP_LIMIT
-    check_once(cluster, writers, "d0")
+    check_exactly_once(cluster, writers, "d0")
 
 
 def test_frozen_primary_is_replaced_and_follows_when_it_thaws(cluster):
@@ -58,7 +58,7 @@
         cluster.upstreams[first].signal(signal.SIGCONT)
         time.sleep(WORK)
     wait_for(lambda: follows_again(cluster, first))
-    check_once(cluster, writers, "d1")
+    check_exactly_once(cluster, writers, "d1")
 
 
 def follows_again(cluster, name):
@@ -77,7 +77,7 @@
         cluster.upstreams[first].signal(signal.SIGCONT)
         time.sleep(2 * WORK)
     assert cluster.home()[1]["term"] == 1
-    check_once(cluster, writers, "d2")
+    check_exactly_once(cluster, writers, "d2")
 
 
 def test_silent_connections_promote_nobody(cluster):
@@ -94,7 +94,7 @@
         muted = time.monotonic()
         wait_for(lambda: any(at > muted + 1.0 for at, _, _ in writers.acked))
     assert cluster.home()[1]["term"] == 1
-    check_once(cluster, writers, "d0")
+    check_exactly_once(cluster, writers, "d0")
 
 
 def test_lost_commit_answer_runs_once(cluster):
@@ -118,7 +118,7 @@
         killed = time.monotonic()
         cluster.daemons[home].signal(signal.SIGKILL)
         wait_for(lambda: any(at > killed + WORK for at, _, _ in writers.acked))
-    check_once(cluster, writers, cluster.live_daemons()[0])
+    check_exactly_once(cluster, writers, cluster.live_daemons()[0])
 
 
 def test_frozen_home_moves_on_and_returns(cluster):
@@ -130,7 +130,7 @@
         wait_for(lambda: any(at > frozen + WORK for at, _, _ in writers.acked))
         cluster.daemons[home].signal(signal.SIGCONT)
         time.sleep(2 * WORK)
-    check_once(cluster, writers, home)
+    check_exactly_once(cluster, writers, home)
 
 
 def test_drain_cuts_off_no_request(cluster):
@@ -147,7 +147,7 @@
         assert cluster.daemons[home].popen.wait(GAP_LIMIT) == 0
         time.sleep(WORK)
     assert writers.resets == []
-    check_once(cluster, writers, cluster.live_daemons()[0])
+    check_exactly_once(cluster, writers, cluster.live_daemons()[0])
 
 
 def test_draining_daemon_serves_until_the_balancer_has_noticed():
@@ -275,7 +275,7 @@
         time.sleep(WORK)
         cluster.upstreams[first].signal(signal.SIGKILL)
         wait_for(lambda: any(by != first for _, _, by in writers.acked))
-    check_once(cluster, writers, "d0")
+    check_exactly_once(cluster, writers, "d0")
 
 
 def test_group_that_refuses_connections_is_told_truthfully(cluster):
