--- a/tests/fakes/clock.py
+++ b/tests/fakes/clock.py
@@ -1,10 +1,10 @@
-"""Virtual time: a heap of things to do."""
+"""Virtual time: a heap of scheduled calls."""
 
 import heapq
 
 
 class Clock:
-    """Runs functions in the order of their virtual time."""
+    """Calls functions in the order of their virtual time."""
 
     def __init__(self):
         self.now = 0.0
@@ -12,13 +12,13 @@
         self.sequence = 0
 
     def after(self, delay, function, *args):
-        """Run a function after `delay` seconds."""
+        """Schedule a call after `delay` seconds."""
         self.sequence += 1
         entry = (self.now + max(0.0, delay), self.sequence, function, args)
         heapq.heappush(self.heap, entry)
 
     def run_until(self, end):
-        """Run everything due before `end`."""
+        """Run all calls due up to `end`, and set the clock to it."""
         while self.heap and self.heap[0][0] <= end:
             due, _, function, args = heapq.heappop(self.heap)
             self.now = max(self.now, due)
--- a/tests/fakes/host.py
+++ b/tests/fakes/host.py
@@ -1,4 +1,4 @@
-"""One daemon in virtual time: its node, timers, links and faults."""
+"""A simulated daemon: its node, timers, links and faults."""
 
 from collections import defaultdict
 from random import Random
@@ -15,7 +15,7 @@
 
 
 class Host:
-    """Feeds a node and carries out its actions over the fake network."""
+    """Passes events to a node and executes its actions on the simulated network."""
 
     def __init__(self, *, world, name, domain, tuning, node_class=Node):
         self.world = world
@@ -29,7 +29,7 @@
         self.boot()
 
     def boot(self):
-        """Start a new process."""
+        """Start a new process of this daemon."""
         self.incarnation += 1
         self.alive = True
         self.frozen = False
@@ -50,7 +50,7 @@
         self.execute(self.node.start(self.clock.now))
 
     def feed(self, event):
-        """Give the node an event, or keep it while the process is stopped."""
+        """Pass an event to the node, or queue it while the process is frozen."""
         if not self.alive:
             return
         if self.frozen:
@@ -60,7 +60,7 @@
         self.world.after_event(self)
 
     def execute(self, pending):
-        """Carry out actions."""
+        """Execute a node's actions."""
         for action in pending:
             if isinstance(action, actions.Send):
                 self.world.send(self, action.peer, action.message)
@@ -78,7 +78,7 @@
                 self.execute_upstream(action)
 
     def execute_upstream(self, action):
-        """Carry out what concerns upstreams."""
+        """Execute an action on an upstream."""
         if isinstance(action, actions.DropConnections):
             self.generation[action.upstream] += 1
         elif isinstance(action, actions.Abandon):
@@ -92,19 +92,19 @@
             self.world.groups[action.database].start(self, action)
 
     def timer(self, incarnation, timer):
-        """A timer is due, unless the process that set it is gone."""
+        """Fire a timer, unless the process that set it has ended."""
         if incarnation == self.incarnation:
             self.feed(TimerFired(timer=timer))
 
     def message(self, peer, message):
-        """A message from a peer."""
+        """Handle a message from a peer."""
         if isinstance(message, Changes):
             self.on_changes(peer, message)
             return
         self.feed(PeerMessage(peer=peer, message=message))
 
     def on_changes(self, peer, changes):
-        """Manifests from a peer, as the shell hands them in."""
+        """Pass manifests from a peer to the node, as the shell does."""
         manifests = tuple(self.world.manifest_of(entry) for entry in changes.entries)
         self.feed(
             ManifestsSeen(manifests=manifests, source=peer, complete=changes.complete)
@@ -113,7 +113,7 @@
     # Faults
 
     def kill(self):
-        """The process dies."""
+        """Kill the process."""
         self.alive = False
         self.incarnation += 1
         for call in list(self.calls.values()):
@@ -126,20 +126,20 @@
                 self.clock.after(0.002, other.feed, PeerLost(peer=self.name))
 
     def freeze(self):
-        """The process stops running."""
+        """Freeze the process."""
         self.frozen = True
 
     def thaw(self):
-        """The process goes on; what arrived meanwhile comes at once."""
+        """Resume the process and handle the events that arrived meanwhile."""
         self.frozen = False
         backlog, self.backlog = self.backlog, []
         for event in backlog:
             self.feed(event)
 
     def mute(self, upstream):
-        """All open connections to an upstream go silent for good."""
+        """Make all open connections to an upstream permanently silent."""
         self.muted[upstream] = self.generation[upstream]
 
     def is_muted(self, upstream):
-        """Tell whether an open connection to an upstream is silent."""
+        """Return whether the open connections to an upstream are silent."""
         return self.muted.get(upstream) == self.generation[upstream]
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -1,4 +1,4 @@
-"""Several daemons, a group and a platform in virtual time."""
+"""Simulation of several daemons, database groups and a platform in virtual time."""
 
 from random import Random
 
@@ -41,7 +41,7 @@
     kinds=KINDS,
     members=("north", "south"),
 ):
-    """A manifest in the logic's form."""
+    """Return a manifest as the decision logic takes it."""
     return DatabaseSpec(
         name=name,
         version=version,
@@ -62,7 +62,7 @@
 
 
 class World:
-    """Everything, on one virtual clock, from one seed."""
+    """The whole simulation, on one virtual clock and deterministic by its seed."""
 
     def __init__(
         self,
@@ -107,7 +107,7 @@
             self.platform.follow(host)
 
     def add_group(self, spec, service):
-        """A database group and its manifest."""
+        """Add a database group and its manifest."""
         names = [item.id for item in spec.upstreams]
         self.groups[spec.name] = FakeGroup(
             world=self, names=names, slots=spec.upstreams[0].slots, service=service
@@ -116,7 +116,7 @@
         self.manifests[(spec.name, spec.version)] = spec
 
     def list_instances(self, *, without=(), leaving=()):
-        """Set the platform's list."""
+        """Set the platform's instance list."""
         daemons = [
             Instance(
                 id=name,
@@ -143,26 +143,26 @@
     # Network
 
     def latency(self, one, other):
-        """One way's time, a little different each time."""
+        """Return the seconds of one message, with jitter."""
         return self.base_latency * (1 + JITTER * self.rng.random())
 
     def cut(self, one, other):
-        """Cut a path, both ways."""
+        """Cut a path in both directions."""
         self.cuts.add(frozenset((one, other)))
 
     def heal(self, *paths):
-        """Mend some paths, or all."""
+        """Restore the given paths, or all."""
         for path in paths:
             self.cuts.discard(frozenset(path))
         if not paths:
             self.cuts.clear()
 
     def is_cut(self, one, other):
-        """Tell whether a path is cut."""
+        """Return whether a path is cut."""
         return frozenset((one, other)) in self.cuts
 
     def send(self, host, peer, message):
-        """Carry a message to a daemon; a dead one refuses the link."""
+        """Send a message to a daemon; a dead one refuses the link."""
         self.messages += 1
         target = self.hosts.get(peer)
         if self.is_cut(host.name, peer):
@@ -175,35 +175,35 @@
         )
 
     def arrive(self, sender, target, message):
-        """A message arrives unless the path was cut meanwhile."""
+        """Deliver a message unless its path was cut meanwhile."""
         if not self.is_cut(sender, target.name):
             target.message(sender, message)
 
     def manifest_of(self, entry):
-        """The manifest that an entry between daemons stands for."""
+        """Return the manifest for an entry exchanged between daemons."""
         return accepted(self.manifests[(entry.database, entry.version)])
 
     # Steps
 
     def run_hook(self, step, call):
-        """A call reached a step; whoever waits for that acts now."""
+        """Run the hook of the step that a call has reached, if there is one."""
         hook = self.hooks.get(step)
         if hook is not None:
             hook(call)
 
     def after_event(self, host):
-        """A daemon has taken in an event."""
+        """Notify the observers that a daemon handled an event."""
         for observer in self.observers:
             observer.after_event(host)
 
     def service_factor(self, call):
-        """How much longer than usual a statement takes."""
+        """Return the factor on a statement's usual service time."""
         return 1.0
 
     # Callers
 
     def ask(self, host, verb, on_answer, *, deadline=5.0, database="grid", **fields):
-        """A caller's request; `on_answer` gets the final answer."""
+        """Send a caller's request; `on_answer` gets the final answer."""
         self.requests += 1
         name = f"r{self.requests}"
         fields.setdefault("key", f"auto-{name}")
@@ -221,7 +221,7 @@
         return request
 
     def hang_up(self, name):
-        """A caller loses its connection, or its patience: it knows nothing."""
+        """Disconnect a caller, whose request then has an unknown outcome."""
         waiting = self.callers.pop(name, None)
         if waiting is None:
             return
@@ -230,13 +230,13 @@
         on_answer(Answer(request=name, outcome=Outcome.UNKNOWN, detail="hung up"))
 
     def disconnect_callers(self, host):
-        """A daemon died: its callers' connections break."""
+        """Disconnect the callers of a daemon that died."""
         for name, (other, _) in list(self.callers.items()):
             if other == host:
                 self.clock.after(REFUSAL_DELAY, self.hang_up, name)
 
     def on_reply(self, host, answer):
-        """A daemon answers a caller."""
+        """Pass a daemon's answer to its caller."""
         waiting = self.callers.pop(answer.request, None)
         for observer in self.observers:
             observer.answered(host, answer, waiting is None)
@@ -244,12 +244,12 @@
             waiting[1](answer)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance virtual time by `seconds`."""
         self.clock.run_until(self.clock.now + seconds)
 
 
 def put(cell, value, tag, kind="submit"):
-    """The fields of a write request."""
+    """Return the fields of a write request."""
     return {
         "verb": Verb.QUERY,
         "kind": kind,
@@ -259,7 +259,7 @@
 
 
 def get(cells, tag, kind="status"):
-    """The fields of a read request."""
+    """Return the fields of a read request."""
     return {
         "verb": Verb.QUERY,
         "kind": kind,
--- a/tests/guarantees.py
+++ b/tests/guarantees.py
@@ -1,13 +1,13 @@
-"""What callers were told and what upstreams ran: finds broken promises.
+"""Checks of the proxy's guarantees from callers' answers and upstreams' statements.
 
-One copy for the random runs in virtual time and for the soak over real processes.
+Shared by the random runs in virtual time and the soak over real processes.
 """
 
 from dataclasses import dataclass, field
 
 from gypsum_sessions.catalog import ReadRule
 
-# How old what a read shows may be, seconds, for the routes of the tests.
+# Maximum age in seconds of the data of a read, by the read rules of the tests.
 MAX_AGE = {
     ReadRule.PRIMARY: 0.0,
     ReadRule.BOUNDED: 1.5,
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class AckedWrite:
-    """Writes that a caller was told are kept."""
+    """Writes that were acknowledged to a caller."""
 
     data: tuple[str, ...]
     at: float
@@ -35,7 +35,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class GuaranteeChecker:
-    """The book of one run: what was sent, told and run."""
+    """Records what was sent, answered and run, and collects violations in `broken`.
+
+    `refused_writes` is the data of writes that callers were told had not been run.
+    """
 
     acked: list[AckedWrite] = field(default_factory=list)
     refused_writes: list[str] = field(default_factory=list)
@@ -46,13 +49,13 @@
     broken: list[str] = field(default_factory=list)
 
     def values_match(self, session, values, at):
-        """Tell whether a session had these values at a time; here: has them now."""
+        """Return whether a session had these values at a time; here: has them now."""
         return values == self.values.get(session, {})
 
     def ran(self, request, session, *, conn, values, in_transaction, at=0.0):
-        """An upstream ran a caller's statement: is it where it belongs?
+        """Check that a statement ran with its session's values and transaction.
 
-        `conn` stands for the connection, `values` are those set on it.
+        `conn` identifies the connection, `values` are the values set on it.
         """
         if not self.values_match(session, values, at):
             self.broken.append(f"PINNED {request}: values {values}")
@@ -64,7 +67,7 @@
         self.owners[conn] = session if in_transaction else None
 
     def read_ran(self, request, member, lacks):
-        """An upstream ran a read on a log that lacks some data: may it?"""
+        """Check that a read was not run on a log that lacks data it must reflect."""
         sent = self.reads[request]
         for item in self.acked:
             own = (
@@ -75,9 +78,9 @@
                 self.broken.append(f"STALE {request} at {member}: lacks {item.data}")
 
     def finish(self, kept, orders):
-        """Check what is only known at the end.
+        """Check the final log and the promotions.
 
-        `kept` is the data in the last log, `orders` tokens and holders of promotions.
+        `kept` is the data in the final log, `orders` tokens and holders of promotions.
         """
         if len(kept) != len(set(kept)):
             self.broken.append("TWICE")
--- a/tests/load.py
+++ b/tests/load.py
@@ -1,4 +1,4 @@
-"""Writers as threads against a cluster; each remembers what it was told."""
+"""Writer threads that load a cluster and record the answers."""
 
 import threading
 import time
@@ -11,7 +11,7 @@
 
 
 class Writers:
-    """Writes until stopped; `acked` and `refused` hold what callers were told."""
+    """Writes until stopped; `acked` and `refused` record the answers."""
 
     def __init__(self, cluster, *, count=3, skip=()):
         self.cluster = cluster
@@ -36,7 +36,7 @@
             thread.join(60)
 
     def run(self, number):
-        """Write one name after the other through changing daemons."""
+        """Write one name after another, through alternating daemons."""
         turn = number
         while not self.stopping.is_set():
             turn += 1
@@ -44,7 +44,7 @@
             time.sleep(PAUSE)
 
     def write(self, name, turn):
-        """Write under one key until the outcome is known."""
+        """Retry a write under one key until its outcome is known."""
         for attempt in range(100):
             names = [item for item in self.cluster.live_daemons() if self.usable(item)]
             daemon = names[(turn + attempt) % len(names)]
@@ -66,11 +66,11 @@
         self.unknown.append(name)
 
     def usable(self, daemon):
-        """Tell whether callers may be sent to a daemon."""
+        """Return whether writes may be sent to a daemon."""
         return daemon not in self.skip
 
     def longest_gap(self, since):
-        """The longest time without an acknowledgement after a moment."""
+        """Return the longest time in seconds without an acknowledged write after `since`."""
         times = [since, *(at for at, _, _ in self.acked if at > since)]
         return max(
             (later - earlier for earlier, later in zip(times, times[1:], strict=False)),
@@ -79,7 +79,7 @@
 
 
 def check_exactly_once(cluster, writers, daemon):
-    """Every acknowledged name stands once, every refused one not at all."""
+    """Check that acknowledged names exist exactly once and refused ones don't."""
     assert writers.acked
     assert not writers.unknown
     for expected, names in (
--- a/tests/test_fairqueue.py
+++ b/tests/test_fairqueue.py
@@ -1,4 +1,4 @@
-"""Members share by weight; worth and deadline order within a member."""
+"""Tests of the weighted fair queue: shares by weight, order within a member."""
 
 from collections import Counter
 
@@ -6,7 +6,7 @@
 
 
 def fill_queue(weights, count):
-    """A queue with as many items of each member, named by it."""
+    """Return a queue with `count` items of each member, named after it."""
     queue = FairQueue(weights=weights)
     for member in weights:
         for number in range(count):
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -1,4 +1,4 @@
-"""Failures that were found, each told and kept from coming back."""
+"""Regression tests; each header names the failure and how it came about."""
 
 from random import Random
 
@@ -14,7 +14,7 @@
 
 
 def ask(world, host, **fields):
-    """Ask something and return the list that its answer will be put in."""
+    """Send a request and return the list that its answer will be appended to."""
     answers = []
     verb = fields.pop("verb")
     world.ask(host, verb, answers.append, **fields)
@@ -33,11 +33,11 @@
 
 
 def test_commit_of_an_ended_term_is_settled_not_run_again():
-    """
-    Symptom: a commit was answered as not run, and its effects were there.
-    Sequence: the commit waits for its majority; the same member is promoted at a
-    higher term; the transaction's name means nothing there.
-    Cause: the commit was queued as a commit again instead of asking the ledger.
+    """Guards against a commit that is answered as not run but took effect.
+
+    While the commit waits for a majority, the same member is promoted at a higher
+    term, where the transaction's name is unknown. If the commit is queued again
+    instead of looked up in the ledger, it fails there.
     """
     world = World()
     world.run(1)
@@ -57,11 +57,11 @@
 
 
 def test_outcome_that_cannot_be_learned_is_unknown():
-    """
-    Symptom: a key's outcome was told as not run; the write was there later.
-    Sequence: a write's answer is lost with the group's majority; the caller asks
-    for the outcome; the question waits in the queue until its deadline.
-    Cause: "not run" was said of the question, the caller reads it of the write.
+    """Guards against an outcome query that reports "not run" for a kept write.
+
+    A write's answer is lost together with the group's majority; the caller's
+    outcome query waits in the queue until its deadline. "Not run" is true of the
+    query, but the caller takes it as the outcome of the write.
     """
     world = World()
     world.run(1)
@@ -86,12 +86,12 @@
 
 
 def test_claim_counts_only_once_its_own_answer_is_in():
-    """
-    Symptom: a caller without a token missed its own write.
-    Sequence: a home claims the group back from another; a probe shows the claim
-    before the claim's own answer; a read is placed by the table of the home's
-    earlier time, which lacks what the other home wrote.
-    Cause: the claim was believed from any status.
+    """Guards against a caller without a token that misses its own write.
+
+    A home claims the group again after another home held the claim, and a probe
+    shows the new claim before the claim's own response. If any status counts, a
+    read is placed by the old table of recent writers, which lacks the other home's
+    writes.
     """
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
     view = GroupView(upstreams=("u1",), majority=1, marks=10)
@@ -107,11 +107,12 @@
 
 
 def test_late_claim_of_an_earlier_attempt_is_not_ours():
-    """
-    Symptom: none seen; found by thinking the one above through.
-    Sequence: a claim is given up and repeated; another home claims and writes; the
-    first claim arrives late and names us again.
-    Cause: both attempts would claim under one name.
+    """Guards against an abandoned claim attempt that takes effect late.
+
+    A claim is abandoned and repeated, another home claims the group and writes, and
+    then the first attempt takes effect. If both attempts had the same holder name,
+    this home would take the claim for its own. Never observed; follows from the
+    failure above.
     """
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
     view = GroupView(upstreams=("u1",), majority=1, marks=10)
@@ -124,10 +125,10 @@
 
 
 def test_primary_cut_from_its_group_is_not_promoted_again():
-    """
-    Symptom: writes stood still for as long as a primary was cut from its group.
-    Sequence: the primary answers the fence, has the longest log, is promoted again.
-    Cause: an unconfirmed tail outweighed that no replica hears it.
+    """Guards against writes that stall while a primary is cut from its group.
+
+    The primary still answers the fence. Its log is the longest, because of an
+    unconfirmed tail, so it would be promoted again although no replica hears it.
     """
     run = scenario.start(seed=3)
     first = run.group.leader().name
@@ -139,12 +140,12 @@
     assert len(run.checker.acks) > acks
 
 
-def test_dead_primary_does_not_burn_the_retry_budget():
-    """
-    Symptom: queued writes were refused within milliseconds of a primary's death.
-    Sequence: the dead primary refuses connections at once; each write is retried
-    against it again and again; the retry budget is empty before a new one leads.
-    Cause: nothing kept work from an upstream that had just failed.
+def test_dead_primary_does_not_exhaust_the_retry_budget():
+    """Guards against refusing queued writes within milliseconds of a primary's death.
+
+    A dead primary refuses connections immediately. If statements are still sent to
+    an upstream that has just failed, each write is retried against it repeatedly
+    and the retry budget is empty before another primary is promoted.
     """
     world = World()
     world.run(1)
@@ -158,12 +159,12 @@
     assert all(len(item) == 1 and done(item[0]) for item in answers)
 
 
-def test_read_at_a_frozen_replica_moves_on():
-    """
-    Symptom: a status check took half its deadline when a replica froze.
-    Sequence: a read is sent to a replica; the replica stops; the home knows it after
-    0.2 s, the read stays until its attempt times out.
-    Cause: knowing that an upstream is silent moved new work only.
+def test_read_at_a_frozen_replica_is_retried_elsewhere():
+    """Guards against a read that takes half its deadline when a replica freezes.
+
+    The replica stops after the read was sent to it. The home notices the silence
+    after 0.2 s, but if only new reads avoid the replica, the pending one waits until
+    its attempt times out.
     """
     world = World(service=0.05)
     world.run(1)
@@ -177,8 +178,8 @@
     assert answers[0].served_by != frozen
 
 
-def replace_primary_at_once(group):
-    """A write has committed at u1 alone; u2 leads the next term, all follow it."""
+def replace_primary(group):
+    """Promote u2 at the next term with all following, while u1 alone has a write."""
     new = group.member("grid-u2")
     for name in group.servers:
         group.member(name).fence(2)
@@ -192,13 +193,11 @@
 
 
 def test_position_of_another_term_confirms_nothing():
-    """
-    Symptom: none seen; found by reading. A write would be answered as done although
-    no member has it.
-    Sequence: it commits at a primary; before the question for its position is
-    answered the primary is replaced, follows, and has discarded the write; the
-    position it tells is the new term's, which a majority holds.
-    Cause: a position was believed whatever its term.
+    """Guards against a write that is answered as done although no member has it.
+
+    The write commits at a primary that is replaced before the query for its position
+    is answered. The member then follows, has discarded the write, and reports a
+    position of the new term, which a majority holds. Never observed; found in review.
     """
     world = World()
     world.run(1)
@@ -206,15 +205,15 @@
     for server in group.servers.values():
         server.ship_lag = 0.3
 
-    def strike(call):
+    def replace_after_write(call):
         if isinstance(call.action, Write):
             world.hooks.clear()
-            replace_primary_at_once(group)
-            # The home hears of the new term from the replicas first.
+            replace_primary(group)
+            # The home learns of the new term from the replicas first.
             world.cut(call.host.name, "grid-u2")
             world.clock.after(0.5, world.heal)
 
-    world.hooks["committed"] = strike
+    world.hooks["committed"] = replace_after_write
     answers = ask(world, "d0", **put("c", 1, "c"))
     world.run(3)
     assert len(answers) == 1
@@ -223,13 +222,13 @@
 
 
 def test_first_write_after_a_quiet_time_keeps_reads_at_replicas():
-    """
-    Symptom: an aged read half a second after a write went to the primary; the demo
-    failed now and then.
-    Sequence: a group is quiet, its statuses are half a second old; a write; a read
-    with its token, before the next status.
-    Cause: a replica's lag was counted from the last status before the write, so it
-    looked as far behind as the statuses are apart, and nobody asked it again.
+    """Guards against bounded-staleness reads at the primary shortly after a write.
+
+    In an idle group, statuses are up to half a second old when a write is followed
+    by a read with its token, before the next status. If a replica's lag counts from
+    the last status before the write, it appears as large as the interval between
+    statuses, and the replica is not probed again. This made the demo fail
+    intermittently.
     """
     places = []
     for delay in (0.1, 0.2, 0.3, 0.4):
