--- a/bench/overload.py
+++ b/bench/overload.py
@@ -10,13 +10,13 @@
 from gypsum_core.fairqueue import FairQueue
 from gypsum_core.records import Mode
 from gypsum_core.spec import KindSpec
-from tests.fakes.world import BETWEEN_DOMAINS, JITTER, World, make_spec, put
+from tests.fakes.world import JITTER, LINK_LATENCY, World, make_spec, put
 from tests.invariants import done
 
 SERVICE = 0.01
 SLOTS = 5
 CAPACITY = SLOTS / SERVICE
-ROUND_TRIP = 2 * BETWEEN_DOMAINS * (1 + JITTER / 2)
+ROUND_TRIP = 2 * LINK_LATENCY * (1 + JITTER / 2)
 OCCUPIED = SLOTS / (SERVICE + ROUND_TRIP)
 SECONDS = 6.0
 WARM_UP = 1.0
@@ -125,8 +125,8 @@
         PLAIN_PUSH(self, item, member="all", worth=0.0, deadline=float(self.sequence))
 
     FairQueue.push = push
-    Admission.admit = lambda self, job, queue, slots, service: True
-    Admission.trim = lambda self, queue, member, slots, service: None
+    Admission.admit = lambda self, job, queue, slots, service_time: True
+    Admission.refuse_displaced = lambda self, queue, member, slots, service_time: None
 
 
 PLAIN_PUSH = FairQueue.push
--- a/packages/core/gypsum_core/checks.py
+++ b/packages/core/gypsum_core/checks.py
@@ -1,21 +1,21 @@
-"""Checks of a request against the manifest, before anything runs."""
+"""Validation of requests against the manifest before they run."""
 
 import re
 
 from gypsum_core.records import Mode, Verb
 
-READ_WORDS = frozenset({"select", "with", "values", "table", "explain", "show"})
-WRITE_WORDS = frozenset({"insert", "update", "delete", "replace", "with"})
-FIRST_WORD = re.compile(r"\s*([a-zA-Z]+)")
-WORDS_OF_MODE = {
-    Mode.READ: READ_WORDS,
-    Mode.WRITE: WRITE_WORDS,
-    Mode.TRANSACTION: READ_WORDS | WRITE_WORDS,
+READ_KEYWORDS = frozenset({"select", "with", "values", "table", "explain", "show"})
+WRITE_KEYWORDS = frozenset({"insert", "update", "delete", "replace", "with"})
+FIRST_KEYWORD = re.compile(r"\s*([a-zA-Z]+)")
+KEYWORDS_BY_MODE = {
+    Mode.READ: READ_KEYWORDS,
+    Mode.WRITE: WRITE_KEYWORDS,
+    Mode.TRANSACTION: READ_KEYWORDS | WRITE_KEYWORDS,
 }
 
 
 def check_request(spec, request):
-    """Say what is wrong with a request; empty when nothing is."""
+    """Return what is wrong with a request, or an empty string."""
     if request.member not in spec.weight_by_member:
         return f"unknown member {request.member!r}"
     if request.verb in (Verb.QUERY, Verb.BEGIN):
@@ -26,22 +26,22 @@
 
 
 def check_statement(mode, statement):
-    """Check that a statement is one that its mode can guard.
+    """Check that a statement begins with a keyword that its mode allows.
 
-    What goes wrong without it: a caller's own COMMIT, or a statement that commits
-    implicitly as CREATE does, ends the transaction that holds the ledger row, and
-    the request may run twice.
+    A caller's own COMMIT, or a statement that commits implicitly such as CREATE,
+    would end the transaction that holds the ledger row, and the request could run
+    twice.
     """
-    match = FIRST_WORD.match(statement.sql)
-    word = match.group(1).lower() if match else ""
-    allowed = WORDS_OF_MODE[mode]
-    if word in allowed:
+    match = FIRST_KEYWORD.match(statement.sql)
+    keyword = match.group(1).lower() if match else ""
+    allowed = KEYWORDS_BY_MODE[mode]
+    if keyword in allowed:
         return ""
     return f"mode {mode} takes statements that begin with {', '.join(sorted(allowed))}"
 
 
 def check_kind(spec, request):
-    """Check that the kind exists and fits what is asked."""
+    """Check that the kind exists and allows the request's verb and statement."""
     kind = spec.kind_by_name.get(request.kind)
     if kind is None:
         return f"unknown kind {request.kind!r}"
--- a/packages/core/gypsum_core/dispatch.py
+++ b/packages/core/gypsum_core/dispatch.py
@@ -1,63 +1,67 @@
-"""When a home sends what to which upstream."""
+"""Dispatch of a home's queued jobs to upstreams."""
 
 from collections import deque
 
 from gypsum_core import actions
 from gypsum_core.actions import Abandon
-from gypsum_core.jobs import LASTING, Operation, Work
+from gypsum_core.jobs import WRITE_OPERATIONS, Operation, OperationKind
 from gypsum_core.ledger import ledger_row
-from gypsum_core.limits import RETRY_SOON
-from gypsum_core.readdesk import Place
+from gypsum_core.load import DEFAULT_RETRY_AFTER
+from gypsum_core.readplacer import Place
 from gypsum_core.records import Reason, Verb
 
-HELD_LIMIT = 32
-FIRST_TRY_PART = 0.5
+MAX_READS_TRIED = 32
+FIRST_ATTEMPT_SHARE = 0.5
 
 
 class Dispatcher:
-    """Starts queued work where slots and proofs allow."""
+    """Starts queued jobs on upstreams with free slots and sufficiently fresh data."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
-    def pump(self):
-        """Start whatever may start now."""
+    def start_queued(self):
+        """Start all jobs that can start now."""
         self.redirect_if_vetoed()
-        self.pump_replicas()
-        self.pump_primary()
-        if self.home.awaiting or self.home.writes.unconfirmed:
+        self.start_replica_reads()
+        self.start_primary_work()
+        if self.home.waiting_reads or self.home.unconfirmed_writes.jobs:
             self.home.watch.request_round()
 
     def redirect_if_vetoed(self):
-        """Pass work on to the daemon that hears the primary we do not."""
+        """Redirect waiting jobs to a daemon that still reaches the primary."""
         if not self.home.failover.vetoed:
             return
         waiting = (
-            self.home.primary_queue.remove_if(lambda job: True) + self.home.awaiting
+            self.home.primary_queue.remove_if(lambda job: True)
+            + self.home.waiting_reads
         )
-        self.home.awaiting = []
+        self.home.waiting_reads = []
         for job in waiting:
             if job.closed:
                 continue
             if job.request.hops >= self.ctx.tuning.max_hops:
                 self.home.refuse(
-                    job, Reason.NO_PRIMARY, "no daemon reaches the primary", RETRY_SOON
+                    job,
+                    Reason.NO_PRIMARY,
+                    "no daemon reaches the primary",
+                    DEFAULT_RETRY_AFTER,
                 )
                 continue
             self.home.close(job)
-            self.home.office.redirect(
+            self.home.node.redirect(
                 job.origin, job.request.id, self.home.failover.alternate_home
             )
 
-    def pump_replicas(self):
+    def start_replica_reads(self):
         """Start queued reads at replicas with free slots."""
         tried = 0
-        held = deque()
-        while tried < HELD_LIMIT and self.any_replica_free():
+        deferred = deque()
+        while tried < MAX_READS_TRIED and self.has_free_replica():
             job = (
-                self.home.held.popleft()
-                if self.home.held
+                self.home.deferred_reads.popleft()
+                if self.home.deferred_reads
                 else self.home.replica_queue.pop()
             )
             if job is None:
@@ -65,81 +69,81 @@
             if job.closed:
                 continue
             tried += 1
-            placement = self.home.reads.place(job, self.home.claim.held)
+            placement = self.home.read_placer.place(job, self.home.claim.held)
             if placement.place is not Place.REPLICA:
-                self.home.placing.place_read(job)
+                self.home.read_scheduler.place_read(job)
                 continue
-            upstream = self.home.reads.quickest(placement.upstreams)
+            upstream = self.home.read_placer.fastest(placement.upstreams)
             if upstream is None:
-                held.append(job)
+                deferred.append(job)
                 continue
-            if self.home.admission.too_late(job, self.home.lanes[upstream]):
+            if self.home.admission.refuse_if_late(job, self.home.loads[upstream]):
                 continue
             self.start_read(job, upstream)
-        held.extend(self.home.held)
-        self.home.held = held
+        deferred.extend(self.home.deferred_reads)
+        self.home.deferred_reads = deferred
 
-    def any_replica_free(self):
-        """Tell whether a replica has a free slot."""
+    def has_free_replica(self):
+        """Return whether a replica has a free slot."""
         return any(
-            lane.free
-            for name, lane in self.home.lanes.items()
+            load.free_slots
+            for name, load in self.home.loads.items()
             if name != self.home.view.primary
         )
 
-    def pump_primary(self):
-        """Start queued work at the primary while it is valid and has slots."""
+    def start_primary_work(self):
+        """Start queued jobs at the primary while it is trusted and has free slots."""
         primary = self.home.view.primary
         if primary is None or self.home.failover.election is not None:
             return
         if not self.home.failover.accepts_work(primary):
             return
-        lane = self.home.lanes[primary]
-        while lane.free:
+        load = self.home.loads[primary]
+        while load.free_slots:
             job = (
-                self.home.urgent.popleft()
-                if self.home.urgent
+                self.home.transaction_jobs.popleft()
+                if self.home.transaction_jobs
                 else self.home.primary_queue.pop()
             )
             if job is None:
                 return
             if job.closed:
-                self.home.txdesk.next_in_transaction(job.request.tx)
+                self.home.transaction_manager.start_next(job.request.tx)
                 continue
-            if self.home.admission.too_late(job, lane):
+            if self.home.admission.refuse_if_late(job, load):
                 continue
             if job.is_read:
                 self.start_primary_read(job, primary)
                 continue
             if not self.home.claim.held and not job.settling:
-                self.put_back(job)
+                self.requeue_at_head(job)
                 self.home.watch.claim_group()
                 return
             self.start_at_primary(job, primary)
 
-    def put_back(self, job):
-        """Return a job to the head of where it came from."""
+    def requeue_at_head(self, job):
+        """Put a job back at the head of the queue that it came from."""
         if job.request.tx and not job.settling:
-            self.home.urgent.appendleft(job)
+            self.home.transaction_jobs.appendleft(job)
             return
-        self.home.admission.queue_primary(job, first=True)
+        self.home.admission.enqueue_primary(job, first=True)
 
     def start_primary_read(self, job, primary):
-        """Run a read at the primary, unless its proof has become stale."""
-        placement = self.home.reads.place(job, self.home.claim.held)
+        """Run a read at the primary, unless that is no longer proven to be current."""
+        placement = self.home.read_placer.place(job, self.home.claim.held)
         if placement.place is Place.PRIMARY:
-            job.why_primary = placement.why
+            job.primary_reason = placement.why
             self.start_read(job, primary)
             return
         if placement.place is Place.REPLICA:
-            upstream = self.home.reads.quickest(placement.upstreams)
+            upstream = self.home.read_placer.fastest(placement.upstreams)
             if upstream:
                 self.start_read(job, upstream)
                 return
             self.start_read(job, primary)
             return
         job.step = f"wait_{placement.place}"
-        self.home.awaiting.append(job)
+        self.home.waiting_reads.append(job)
 
     def start_read(self, job, upstream):
         """Run a read at an upstream."""
@@ -147,33 +151,35 @@
         self.start(
             job,
             actions.Read,
-            Work.READ,
+            OperationKind.READ,
             upstream,
             timeout=timeout,
             statement=job.request.statement,
         )
 
     def attempt_time(self, job):
-        """Seconds for one attempt; half of what is left stays for another.
+        """Return the timeout of one attempt in seconds.
 
-        What goes wrong otherwise: a connection that has gone silent takes the
-        whole deadline with it, and a retry that would succeed comes too late.
+        The first attempt gets half of the remaining time. Otherwise a silent
+        connection would use up the whole deadline and leave no time for a retry.
         """
         left = max(0.001, job.request.deadline - self.ctx.now)
-        return left * FIRST_TRY_PART if job.attempts < 2 else left
+        return left * FIRST_ATTEMPT_SHARE if job.attempts < 2 else left
 
     def start_at_primary(self, job, primary):
-        """Run a write, outcome, begin, statement, commit or rollback."""
+        """Run a write, outcome query, begin, statement or commit."""
         request = job.request
         if job.settling or request.verb is Verb.OUTCOME:
-            self.start(job, actions.Settle, Work.SETTLE, primary, row=ledger_row(job))
+            self.start(
+                job, actions.Settle, OperationKind.SETTLE, primary, row=ledger_row(job)
+            )
         elif request.verb is Verb.BEGIN:
-            self.home.txdesk.begin(job, primary)
+            self.home.transaction_manager.begin(job, primary)
         elif request.verb is Verb.TX_QUERY:
             self.start(
                 job,
                 actions.TxRun,
-                Work.TX_RUN,
+                OperationKind.TX_RUN,
                 primary,
                 tx=request.tx,
                 statement=request.statement,
@@ -182,7 +188,7 @@
             self.start(
                 job,
                 actions.TxCommit,
-                Work.TX_COMMIT,
+                OperationKind.TX_COMMIT,
                 primary,
                 tx=request.tx,
                 row=ledger_row(job),
@@ -192,21 +198,21 @@
             self.start(
                 job,
                 actions.Write,
-                Work.WRITE,
+                OperationKind.WRITE,
                 primary,
                 statement=request.statement,
                 row=ledger_row(job),
                 holder=self.home.claim.holder,
             )
 
-    def start(self, job, kind, work, upstream, timeout=None, **fields):
-        """Emit a slotted operation for a job."""
-        maybe_run_before = job.maybe_run
-        job.maybe_run = maybe_run_before or work in LASTING
+    def start(self, job, action_class, kind, upstream, timeout=None, **fields):
+        """Emit an operation that occupies a slot of its upstream."""
+        may_have_run_before = job.may_have_run
+        job.may_have_run = may_have_run_before or kind in WRITE_OPERATIONS
         job.attempts += 1
         job.started_at = self.ctx.now
-        job.step = work.value
-        action = kind(
+        job.step = kind.value
+        action = action_class(
             op=self.ctx.next_op(),
             database=self.home.spec.name,
             upstream=upstream,
@@ -216,42 +222,45 @@
         job.op = action.op
         self.home.operations[action.op] = Operation(
             op=action.op,
-            work=work,
+            kind=kind,
             upstream=upstream,
             sent_at=self.ctx.now,
             term=self.home.view.term,
             job=job,
             as_of=self.home.view.as_of(upstream),
-            floor=self.home.reads.floor(job) if job.is_read else None,
-            maybe_run_before=maybe_run_before,
+            floor=self.home.read_placer.floor(job) if job.is_read else None,
+            may_have_run_before=may_have_run_before,
         )
-        self.home.lanes[upstream].enter()
+        self.home.loads[upstream].start()
         self.ctx.emit(action)
 
-    def outdated(self, operation):
-        """Tell whether an operation runs at a primary that leads no more."""
-        if operation.work is Work.READ and operation.job.why_primary is None:
+    def is_outdated(self, operation):
+        """Return whether an operation runs at a primary that has been replaced."""
+        if (
+            operation.kind is OperationKind.READ
+            and operation.job.primary_reason is None
+        ):
             return False
         return (
             operation.term != self.home.view.term
             or operation.upstream != self.home.view.primary
         )
 
-    def rescue_reads(self):
-        """Take reads back from upstreams that have gone silent.
+    def abandon_silent_reads(self):
+        """Abandon and retry reads at upstreams that have become silent.
 
-        What goes wrong without it: a read sent to a replica just before that froze
-        waits for half its deadline, though the silence is known after 0.2 s.
+        A read sent to a replica just before it froze would otherwise wait for half
+        of its deadline, although the silence is known after 0.2 s.
         """
         for operation in list(self.home.operations.values()):
             silent = self.home.failover.is_unresponsive(operation.upstream)
-            if operation.work is Work.READ and silent:
-                self.take_back(operation)
+            if operation.kind is OperationKind.READ and silent:
+                self.abandon_and_retry(operation)
 
-    def take_back(self, operation):
-        """Abandon an operation; its late answer finds nobody waiting."""
+    def abandon_and_retry(self, operation):
+        """Abandon an operation, drop its late response, and retry its job."""
         self.home.operations.pop(operation.op, None)
-        self.home.lanes[operation.upstream].leave(None)
+        self.home.loads[operation.upstream].finish(None)
         self.ctx.emit(
             Abandon(
                 op=operation.op,
@@ -261,4 +270,4 @@
             )
         )
         if not operation.job.closed:
-            self.home.answers.try_again(operation, "its primary was replaced")
+            self.home.responses.retry(operation, "its primary was replaced")
--- a/packages/core/gypsum_core/node.py
+++ b/packages/core/gypsum_core/node.py
@@ -6,8 +6,6 @@
 from gypsum_core.context import Context
 from gypsum_core.drain import PART as DRAIN_PART
 from gypsum_core.drain import Drain
-from gypsum_core.entry import PART as ENTRY_PART
-from gypsum_core.entry import Entry
 from gypsum_core.events import (
     CallerDisconnected,
     CallerRequest,
@@ -42,6 +40,8 @@
 )
 from gypsum_core.peers import Peers
 from gypsum_core.placement import Placement
+from gypsum_core.router import PART as ENTRY_PART
+from gypsum_core.router import RequestRouter
 from gypsum_core.spec import DEFAULT_TUNING, InstanceRole
 
 HOME_PARTS = frozenset({timers.PART, timers.DEADLINE, timers.CATCH_UP, FAILOVER_PART})
@@ -68,7 +68,7 @@
         self.orders = {}
         self.homes = {}
         self.peers = Peers(ctx=self.ctx)
-        self.entry = Entry(ctx=self.ctx, peers=self.peers, office=self)
+        self.entry = RequestRouter(ctx=self.ctx, peers=self.peers, node=self)
         self.instance_list = InstanceList(ctx=self.ctx, node=self)
         self.manifests = Manifests(ctx=self.ctx, peers=self.peers, node=self)
         self.drain = Drain(ctx=self.ctx, node=self)
@@ -92,9 +92,9 @@
             self.on_timer(event.timer)
         elif isinstance(event, PeerLost):
             self.peers.on_link_lost(event.peer)
-            self.entry.peer_down(event.peer)
+            self.entry.on_peer_lost(event.peer)
         elif isinstance(event, CallerDisconnected):
-            self.entry.gone(event.request)
+            self.entry.on_caller_gone(event.request)
         elif isinstance(event, InstancesReceived):
             self.on_instance_list(event.instances, event.revision, source="platform")
         elif isinstance(event, ManifestsReceived):
@@ -109,7 +109,7 @@
         """Pass an upstream's answer to the home that requested it."""
         item = self.homes.get(event.database)
         if item is not None:
-            item.answers.on_upstream(event)
+            item.responses.on_response(event)
 
     def on_message(self, peer, message):
         """Process a message from another daemon."""
@@ -117,7 +117,7 @@
         if isinstance(message, Forward):
             self.on_forward(peer, message.request)
         elif isinstance(message, Answered):
-            self.entry.answered(message.answer)
+            self.entry.on_answer(message.answer)
         elif isinstance(message, Ping):
             self.ctx.send(peer, Pong(nonce=message.nonce, leaving=self.ctx.draining))
         elif isinstance(message, Pong):
@@ -126,7 +126,7 @@
             self.peers.set_leaving(peer)
             self.rank_homes()
         elif isinstance(message, Redirect):
-            self.entry.redirected(message.request, message.to)
+            self.entry.on_redirect(message.request, message.to)
         elif isinstance(message, Digest):
             self.manifests.on_digest(peer, message)
         elif isinstance(message, Versions):
@@ -150,7 +150,7 @@
             item.watch.on_peer_query(peer, message)
         elif isinstance(message, PrimaryHeard):
             item.failover.on_peer_answer(peer, message)
-            item.dispatch.pump()
+            item.dispatch.start_queued()
         elif isinstance(message, TermNews) and item.active:
             item.watch.probe_all()
 
@@ -227,7 +227,7 @@
         item = self.homes.get(database)
         spec = self.spec(database)
         if item is None and spec is not None:
-            item = Home(ctx=self.ctx, spec=spec, office=self)
+            item = Home(ctx=self.ctx, spec=spec, node=self)
             self.homes[database] = item
         return item
 
@@ -328,14 +328,14 @@
     def deliver(self, origin, answer):
         """Send a home's answer to the daemon that the request came from."""
         if origin == self.ctx.daemon:
-            self.entry.answered(answer)
+            self.entry.on_answer(answer)
             return
         self.ctx.send(origin, Answered(answer=answer))
 
     def redirect(self, origin, request, to):
         """Tell the origin of a request to send it to daemon `to`."""
         if origin == self.ctx.daemon:
-            self.entry.redirected(request, to)
+            self.entry.on_redirect(request, to)
             return
         self.ctx.send(origin, Redirect(request=request, to=to))
 
@@ -361,12 +361,12 @@
     def end_transactions(self):
         """Roll back the transactions that did not end in time."""
         for item in self.homes.values():
-            item.txdesk.end_transactions()
+            item.transaction_manager.abort_all()
 
     def busy(self):
         """Return whether any request is still unanswered."""
         homes_busy = any(item.busy for item in self.homes.values())
-        return homes_busy or bool(self.entry.flights)
+        return homes_busy or bool(self.entry.pending)
 
     @property
     def ready(self):
--- a/packages/core/gypsum_core/answers.py
+++ b/packages/core/gypsum_core/responses.py
@@ -1,39 +1,39 @@
-"""What a home makes of the answers of upstreams."""
+"""Handling of upstreams' responses at a home."""
 
 from dataclasses import replace
 
 from gypsum_core.actions import DropConnections
 from gypsum_core.events import Failed, Settled, StatementCompleted, StatusReceived
-from gypsum_core.jobs import SLOTTED, Work
-from gypsum_core.limits import RETRY_SOON
+from gypsum_core.jobs import SLOT_OPERATIONS, OperationKind
+from gypsum_core.load import DEFAULT_RETRY_AFTER
 from gypsum_core.records import Answer, Outcome, Reason, Verb
-from gypsum_core.writedesk import answer_done
+from gypsum_core.unconfirmedwrites import done_answer
 
 
-class Answers:
-    """Turns upstreams' answers into final answers, retries or suspicion."""
+class ResponseHandler:
+    """Turns responses into final answers, retries or checks of the upstream."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
     def settle(self, job):
-        """Look a key's outcome up in the ledger instead of running the request."""
+        """Look up the outcome of a key in the ledger instead of running the request."""
         job.settling = True
-        job.maybe_run = True
-        self.home.admission.queue_primary(job, first=True)
+        job.may_have_run = True
+        self.home.admission.enqueue_primary(job, first=True)
 
-    def on_upstream(self, event):
-        """Take in the answer to an operation; unknown ones are late: dropped."""
+    def on_response(self, event):
+        """Handle the response to an operation; drop one that is no longer pending."""
         operation = self.home.operations.pop(event.op, None)
         if operation is None:
             return
         if self.home.probing.get(operation.upstream) == operation.op:
             del self.home.probing[operation.upstream]
-        if operation.work in SLOTTED:
+        if operation.kind in SLOT_OPERATIONS:
             seconds = self.ctx.now - operation.sent_at
             ran = isinstance(event, StatementCompleted | Settled)
-            self.home.lanes[operation.upstream].leave(seconds if ran else None)
+            self.home.loads[operation.upstream].finish(seconds if ran else None)
         if isinstance(event, Failed):
             self.on_failed(operation, event)
         elif isinstance(event, StatusReceived):
@@ -42,51 +42,53 @@
             self.on_settled(operation, event)
         else:
             self.on_ran(operation, event)
-        self.home.dispatch.pump()
+        self.home.dispatch.start_queued()
 
     def on_status(self, operation, status):
-        """A status came back: from a probe or a group verb."""
+        """Handle a status from a probe, fence, promotion, follow or claim."""
         self.home.watch.answer_peer(operation, heard=True)
-        if operation.work is Work.CLAIM:
-            self.home.claim.answered(status)
-        if operation.work is Work.PROBE and operation.fresh:
+        if operation.kind is OperationKind.CLAIM:
+            self.home.claim.on_answer(status)
+        if operation.kind is OperationKind.PROBE and operation.fresh:
             self.home.watch.drop_silent_connections(operation.upstream)
-        self.home.learn(status, operation.sent_at)
-        if operation.work is Work.FENCE:
+        self.home.apply_status(status, operation.sent_at)
+        if operation.kind is OperationKind.FENCE:
             self.home.failover.on_fenced(status, operation.term)
-        if operation.work is Work.PROMOTE:
+        if operation.kind is OperationKind.PROMOTE:
             self.home.failover.on_promoted(status)
-        self.home.dispatch.pump()
+        self.home.dispatch.start_queued()
 
     def on_ran(self, operation, event):
-        """A statement ran at its upstream."""
+        """Handle the result of a statement."""
         self.home.failover.record_response(operation.upstream)
         job = operation.job
-        if operation.work is Work.READ:
+        if operation.kind is OperationKind.READ:
             self.answer_read(job, operation, event.result)
-        elif operation.work is Work.TX_BEGIN:
-            self.home.txdesk.opened(job, operation)
-        elif operation.work is Work.TX_RUN:
-            self.home.txdesk.ran_in_transaction(job, event.result)
+        elif operation.kind is OperationKind.TX_BEGIN:
+            self.home.transaction_manager.on_opened(job, operation)
+        elif operation.kind is OperationKind.TX_RUN:
+            self.home.transaction_manager.on_statement_done(job, event.result)
         else:
-            if operation.work is Work.TX_COMMIT:
-                self.home.transactions.drop(job.request.tx)
-            self.committed(job, operation, event.result, event.position)
+            if operation.kind is OperationKind.TX_COMMIT:
+                self.home.transactions.remove(job.request.tx)
+            self.on_committed(job, operation, event.result, event.position)
 
     def answer_read(self, job, operation, result):
-        """Answer a read with the proven age of its data."""
+        """Answer a read with the proven maximum age of its data."""
         if job.closed:
             return
         age = max(0.0, self.ctx.now - operation.as_of)
         current = operation.as_of >= job.arrived
         if not current and age * 1000 > job.kind.max_age_ms:
-            # The data was young enough when it was asked for but lay about, for
-            # instance while this process was stopped. Ask for current data: that
-            # stays right however long it takes.
+            # The result has become too old since the read was sent, for instance
+            # while this process was suspended. Request current data instead: its
+            # age counts from this request's arrival and cannot expire again.
             job.request = replace(job.request, current=True)
-            self.home.placing.place_read(job)
+            self.home.read_scheduler.place_read(job)
             return
-        self.home.reads.counts.served(job, operation.upstream, self.home.view.primary)
+        self.home.read_placer.counts.record(
+            job, operation.upstream, self.home.view.primary
+        )
         self.home.finish(
             job,
             Answer(
@@ -100,13 +102,13 @@
             ),
         )
 
-    def committed(self, job, operation, result, position):
-        """A write is in the primary's log; it waits for its majority."""
+    def on_committed(self, job, operation, result, position):
+        """Record a write that is in the primary's log and wait for a majority."""
         self.home.view.record_log_end(
             sent_at=operation.sent_at, position=position, by=operation.upstream
         )
-        self.home.recent.wrote(job.caller, position)
-        self.home.recent.wrote((job.request.member, ""), position)
+        self.home.recent_writers.record(job.caller, position)
+        self.home.recent_writers.record((job.request.member, ""), position)
         if job.closed:
             return
         self.await_majority(job, operation, result, position)
@@ -114,21 +116,22 @@
     def await_majority(self, job, operation, result, position):
         """Hold a write, or a settled key, until a majority has its position.
 
-        What goes wrong without the check: the primary is replaced between the commit
-        and the question for its position, discards the write and tells a position of
-        the new term, which a majority holds. The ledger knows what became of it.
+        A position of another term confirms nothing: the primary may have been
+        replaced between the commit and the query for its position. It then
+        discarded the write and reports a position of the new term, which a majority
+        holds. Such a write is looked up in the ledger.
         """
         if position.term != operation.term:
-            self.run_again(job)
+            self.requeue(job)
             return
-        self.home.writes.add(
+        self.home.unconfirmed_writes.add(
             job, result=result, position=position, served_by=operation.upstream
         )
         self.confirm_writes()
 
     def confirm_writes(self):
-        """Answer the writes that a majority holds by now."""
-        for job in self.home.writes.take_confirmed():
+        """Answer the writes that a majority holds."""
+        for job in self.home.unconfirmed_writes.take_confirmed():
             if job.closed:
                 continue
             if job.settling and job.result is None:
@@ -136,10 +139,10 @@
                     job, Reason.CANCELLED, "it was not run and never will be"
                 )
                 continue
-            self.home.finish(job, answer_done(job))
+            self.home.finish(job, done_answer(job))
 
     def on_settled(self, operation, event):
-        """The ledger decided a key; the decision needs a majority as well."""
+        """Handle a key's outcome from the ledger; it needs a majority as well."""
         self.home.failover.record_response(operation.upstream)
         job = operation.job
         job.settling = True
@@ -148,12 +151,12 @@
         self.await_majority(job, operation, event.result, event.position)
 
     def on_failed(self, operation, event):
-        """An operation failed: decide whether to answer, retry or suspect."""
+        """Handle a failure: answer, retry, or check whether the upstream is alive."""
         self.home.watch.answer_peer(operation, heard=False)
-        if operation.work is Work.CLAIM:
-            self.home.claim.failed()
+        if operation.kind is OperationKind.CLAIM:
+            self.home.claim.on_failure()
             self.home.watch.verify(operation.upstream)
-        if operation.work in (Work.FENCE, Work.PROMOTE):
+        if operation.kind in (OperationKind.FENCE, OperationKind.PROMOTE):
             self.home.failover.on_order_failed(operation.upstream, operation.term)
         job = operation.job
         if job is None:
@@ -163,8 +166,8 @@
             self.home.failover.record_response(operation.upstream)
         elif not event.stale and not event.claim_lost:
             self.home.watch.verify(operation.upstream)
-        if operation.work in (Work.TX_RUN, Work.TX_COMMIT):
-            self.home.txdesk.transaction_failed(operation, event)
+        if operation.kind in (OperationKind.TX_RUN, OperationKind.TX_COMMIT):
+            self.home.transaction_manager.on_failed(operation, event)
             return
         if job.closed:
             return
@@ -180,11 +183,11 @@
         if event.stale or event.claim_lost:
             self.home.watch.on_claim_lost(operation.upstream)
         if not event.sent:
-            job.maybe_run = operation.maybe_run_before
-        self.try_again(operation, event.detail)
+            job.may_have_run = operation.may_have_run_before
+        self.retry(operation, event.detail)
 
-    def try_again(self, operation, detail):
-        """Requeue a job: reads are harmless, the ledger guards the writes."""
+    def retry(self, operation, detail):
+        """Retry a job: reads have no effects, the ledger prevents duplicate writes."""
         job = operation.job
         if job.request.verb in (Verb.TX_QUERY, Verb.ROLLBACK):
             self.home.refuse(
@@ -192,7 +195,7 @@
             )
             return
         if job.request.verb is Verb.COMMIT:
-            self.run_again(job)
+            self.requeue(job)
             return
         if not self.home.budget.withdraw():
             self.home.refuse(
@@ -200,22 +203,22 @@
                 Reason.RETRY_BUDGET,
                 detail,
                 peer=operation.upstream,
-                retry_after=RETRY_SOON,
+                retry_after=DEFAULT_RETRY_AFTER,
             )
             return
         if job.is_read:
-            self.home.placing.place_read(job)
+            self.home.read_scheduler.place_read(job)
             return
-        self.run_again(job)
+        self.requeue(job)
 
-    def run_again(self, job):
+    def requeue(self, job):
         """Queue a job whose first attempt may have taken effect.
 
-        A write runs again under its key. A commit cannot: its transaction died
-        with its connection, so only the ledger can tell what became of it.
+        A write runs again under its key. A commit cannot: its transaction ended
+        with its connection, so its outcome is looked up in the ledger.
         """
         if job.request.verb is Verb.COMMIT:
-            self.home.transactions.drop(job.request.tx)
+            self.home.transactions.remove(job.request.tx)
             self.settle(job)
             return
-        self.home.admission.queue_primary(job, first=True)
+        self.home.admission.enqueue_primary(job, first=True)
--- a/packages/core/gypsum_core/watch.py
+++ b/packages/core/gypsum_core/watch.py
@@ -2,9 +2,9 @@
 
 from gypsum_core import actions
 from gypsum_core.actions import DropConnections, Probe
-from gypsum_core.jobs import Operation, Work
+from gypsum_core.jobs import Operation, OperationKind
 from gypsum_core.messages import PrimaryHeard
-from gypsum_core.readdesk import CATCHING_UP
+from gypsum_core.readplacer import CATCH_UP_STEP
 from gypsum_core.timers import PART, POLL, ROUND
 
 REFRESH_FRACTION = 0.25
@@ -22,17 +22,17 @@
     def poll(self):
         """Probe the group where due, and schedule the next poll."""
         tuning = self.ctx.tuning
-        idle = self.ctx.now - self.home.used_at > tuning.home_idle_after
+        idle = self.ctx.now - self.home.last_used_at > tuning.home_idle_after
         if self.home.rank != 0 and idle and not self.home.busy:
             self.home.active = False
             return
         for upstream in self.home.view.upstreams:
             if self.poll_due(upstream):
                 self.probe(upstream)
-        self.home.txdesk.end_idle_transactions()
+        self.home.transaction_manager.abort_idle()
         self.home.failover.check()
-        self.home.dispatch.rescue_reads()
-        self.home.dispatch.pump()
+        self.home.dispatch.abandon_silent_reads()
+        self.home.dispatch.start_queued()
         pause = tuning.idle_poll_interval if idle else tuning.poll_interval
         self.ctx.set_timer(pause, part=PART, database=self.home.spec.name, detail=POLL)
 
@@ -50,7 +50,7 @@
             return True
         idle_time = self.home.failover.since_last_response(upstream)
         is_primary = upstream == self.home.view.primary
-        has_work = self.home.lanes[upstream].running > 0
+        has_work = self.home.loads[upstream].running > 0
         return (is_primary or has_work) and idle_time >= self.ctx.tuning.poll_interval
 
     def refresh_interval(self):
@@ -85,31 +85,31 @@
         One round serves every read and write waiting at the time, so the number
         of probes does not grow with the number of requests.
         """
-        if self.home.round_set:
+        if self.home.round_scheduled:
             return
         gap = self.round_gap()
-        delay = max(0.0, self.home.round_at + gap - self.ctx.now)
+        delay = max(0.0, self.home.last_round_at + gap - self.ctx.now)
         if delay > 0:
-            self.home.round_set = True
+            self.home.round_scheduled = True
             self.ctx.set_timer(
                 delay, part=PART, database=self.home.spec.name, detail=ROUND
             )
             return
-        self.home.round_at = self.ctx.now
+        self.home.last_round_at = self.ctx.now
         self.probe_all()
 
     def round_gap(self):
         """Seconds between two rounds; short while callers wait for a status."""
-        if any(job.step != CATCHING_UP for job in self.home.awaiting):
+        if any(job.step != CATCH_UP_STEP for job in self.home.waiting_reads):
             return ROUND_GAP
-        gap = CATCH_UP_GAP if self.home.awaiting else float("inf")
-        if self.home.writes.unconfirmed:
-            gap = min(gap, self.home.writes.round_gap())
+        gap = CATCH_UP_GAP if self.home.waiting_reads else float("inf")
+        if self.home.unconfirmed_writes.jobs:
+            gap = min(gap, self.home.unconfirmed_writes.round_interval())
         return gap
 
     def claim_group(self):
         """Claim the group: make this the only daemon whose writes it accepts."""
-        if self.home.claim.running or self.home.view.primary is None:
+        if self.home.claim.in_progress or self.home.view.primary is None:
             return
         self.home.launch(
             actions.Claim(
@@ -132,10 +132,10 @@
 
     def answer_peer(self, operation, *, heard):
         """Answer a peer that asked whether the upstream responds to us."""
-        if operation.work is not Work.ASKED_PROBE:
+        if operation.kind is not OperationKind.ASKED_PROBE:
             return
         self.ctx.send(
-            operation.asker,
+            operation.requester,
             PrimaryHeard(
                 database=self.home.spec.name,
                 upstream=operation.upstream,
@@ -155,11 +155,11 @@
         )
         self.home.operations[action.op] = Operation(
             op=action.op,
-            work=Work.ASKED_PROBE,
+            kind=OperationKind.ASKED_PROBE,
             upstream=query.upstream,
             sent_at=self.ctx.now,
             term=self.home.view.term,
-            asker=peer,
+            requester=peer,
             nonce=query.nonce,
         )
         self.ctx.emit(action)
@@ -171,5 +171,5 @@
 
     def on_claim_lost(self, upstream):
         """Another daemon claimed the group: probe before claiming it again."""
-        self.home.claim.lost()
+        self.home.claim.on_lost()
         self.probe(upstream)
--- a/tests/fakes/group.py
+++ b/tests/fakes/group.py
@@ -149,7 +149,7 @@
     def start_statement(self, server, call):
         """A statement occupies a slot for its service time."""
         server.running += 1
-        self.world.reach("running", call)
+        self.world.run_hook("running", call)
         seconds = server.service * self.world.service_factor(call)
         self.clock.after(seconds, self.complete, server, call)
 
@@ -186,7 +186,7 @@
             call.fail(sent=False, detail="no such transaction")
             return
         if call.writes:
-            self.world.reach("committed", call)
+            self.world.run_hook("committed", call)
             if self.servers[call.action.upstream].dead:
                 return
             self.ship(call.action.upstream)
@@ -317,11 +317,11 @@
 
     def send(self):
         """Send to the member; time out after the action's timeout."""
-        self.world.reach("before_send", self)
+        self.world.run_hook("before_send", self)
         self.host.calls[self.action.op] = self
         self.group.clock.after(self.action.timeout, self.time_out)
         self.transfer(self.group.deliver, self)
-        self.world.reach("sent", self)
+        self.world.run_hook("sent", self)
 
     def transfer(self, function, *args):
         """Call `function` after the latency, unless the path is cut or muted."""
@@ -353,7 +353,7 @@
         self.finished = True
         self.host.calls.pop(self.action.op, None)
         if not self.abandoned:
-            self.world.reach("answered", self)
+            self.world.run_hook("answered", self)
             self.host.feed(event)
 
     def time_out(self):
--- a/tests/fakes/host.py
+++ b/tests/fakes/host.py
@@ -1,4 +1,4 @@
-"""One daemon in virtual time: its node, timers, links and faults."""
+"""A simulated daemon: its node, timers, links and faults."""
 
 from collections import defaultdict
 from random import Random
@@ -15,7 +15,7 @@
 
 
 class Host:
-    """Feeds a node and carries out its actions over the fake network."""
+    """Passes events to a node and executes its actions on the simulated network."""
 
     def __init__(self, *, world, name, domain, tuning, node_class=Node):
         self.world = world
@@ -24,13 +24,13 @@
         self.domain = domain
         self.tuning = tuning
         self.node_class = node_class
-        self.life = 0
+        self.incarnation = 0
         self.replies = {}
         self.boot()
 
     def boot(self):
-        """Start a new process."""
-        self.life += 1
+        """Start a new process of this daemon."""
+        self.incarnation += 1
         self.alive = True
         self.frozen = False
         self.loaded = False
@@ -43,42 +43,42 @@
         self.node = self.node_class(
             daemon=self.name,
             domain=self.domain,
-            incarnation=str(self.life),
-            rng=Random(f"{self.world.seed}/{self.name}/{self.life}"),
+            incarnation=str(self.incarnation),
+            rng=Random(f"{self.world.seed}/{self.name}/{self.incarnation}"),
             tuning=self.tuning,
         )
-        self.carry_out(self.node.start(self.clock.now))
+        self.execute(self.node.start(self.clock.now))
 
     def feed(self, event):
-        """Give the node an event, or keep it while the process is stopped."""
+        """Pass an event to the node, or queue it while the process is frozen."""
         if not self.alive:
             return
         if self.frozen:
             self.backlog.append(event)
             return
-        self.carry_out(self.node.handle(event, self.clock.now))
+        self.execute(self.node.handle(event, self.clock.now))
         self.world.after_event(self)
 
-    def carry_out(self, todo):
-        """Carry out actions."""
-        for action in todo:
+    def execute(self, pending):
+        """Execute a node's actions."""
+        for action in pending:
             if isinstance(action, actions.Send):
                 self.world.send(self, action.peer, action.message)
             elif isinstance(action, actions.Reply):
-                self.world.replied(self, action.answer)
+                self.world.on_reply(self, action.answer)
             elif isinstance(action, actions.SetTimer):
                 delay = action.at - self.clock.now
-                self.clock.after(delay, self.timer, self.life, action.timer)
+                self.clock.after(delay, self.timer, self.incarnation, action.timer)
             elif isinstance(action, actions.Log):
                 self.logs.append((self.clock.now, action.part, action.text))
             elif isinstance(action, actions.Exit):
                 self.exited = True
                 self.alive = False
             else:
-                self.carry_out_upstream(action)
+                self.execute_upstream(action)
 
-    def carry_out_upstream(self, action):
-        """Carry out what concerns upstreams."""
+    def execute_upstream(self, action):
+        """Execute an action on an upstream."""
         if isinstance(action, actions.DropConnections):
             self.generation[action.upstream] += 1
         elif isinstance(action, actions.Abandon):
@@ -91,20 +91,20 @@
         elif isinstance(action, actions.UpstreamAction):
             self.world.groups[action.database].start(self, action)
 
-    def timer(self, life, timer):
-        """A timer is due, unless the process that set it is gone."""
-        if life == self.life:
+    def timer(self, incarnation, timer):
+        """Fire a timer, unless the process that set it has ended."""
+        if incarnation == self.incarnation:
             self.feed(TimerFired(timer=timer))
 
     def message(self, peer, message):
-        """A message from a peer."""
+        """Handle a message from a peer."""
         if isinstance(message, Changes):
-            self.take_changes(peer, message)
+            self.on_changes(peer, message)
             return
         self.feed(PeerMessage(peer=peer, message=message))
 
-    def take_changes(self, peer, changes):
-        """Manifests from a peer, as the shell hands them in."""
+    def on_changes(self, peer, changes):
+        """Pass manifests from a peer to the node, as the shell does."""
         manifests = tuple(self.world.manifest_of(entry) for entry in changes.entries)
         self.feed(
             ManifestsReceived(
@@ -115,12 +115,12 @@
     # Faults
 
     def kill(self):
-        """The process dies."""
+        """Kill the process."""
         self.alive = False
-        self.life += 1
+        self.incarnation += 1
         for call in list(self.calls.values()):
             call.abandon()
-        self.world.lose_callers(self.name)
+        self.world.disconnect_callers(self.name)
         for group in self.world.groups.values():
             group.roll_back_transactions(self.name)
         for other in self.world.hosts.values():
@@ -128,20 +128,20 @@
                 self.clock.after(0.002, other.feed, PeerLost(peer=self.name))
 
     def freeze(self):
-        """The process stops running."""
+        """Freeze the process."""
         self.frozen = True
 
     def thaw(self):
-        """The process goes on; what arrived meanwhile comes at once."""
+        """Resume the process and handle the events that arrived meanwhile."""
         self.frozen = False
         backlog, self.backlog = self.backlog, []
         for event in backlog:
             self.feed(event)
 
     def mute(self, upstream):
-        """All open connections to an upstream go silent for good."""
+        """Make all open connections to an upstream permanently silent."""
         self.muted[upstream] = self.generation[upstream]
 
     def is_muted(self, upstream):
-        """Tell whether an open connection to an upstream is silent."""
+        """Return whether the open connections to an upstream are silent."""
         return self.muted.get(upstream) == self.generation[upstream]
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -51,7 +51,7 @@
         accepted = version == expect
         if accepted:
             self.specs[spec.name] = spec
-            self.world.bodies[(spec.name, spec.version)] = spec
+            self.world.manifests[(spec.name, spec.version)] = spec
             self.writers[spec.name] = writer
             self.accepted_at[(spec.name, spec.version)] = self.clock.now
             self.notify()
@@ -75,16 +75,16 @@
 
     def connect_host(self, host):
         """Start a host's loops for the instance list and the manifests."""
-        self.clock.after(self.delay(), self.list_instances, host, host.life)
-        self.clock.after(self.delay(), self.load, host, host.life)
+        self.clock.after(self.delay(), self.list_instances, host, host.incarnation)
+        self.clock.after(self.delay(), self.load, host, host.incarnation)
 
-    def list_instances(self, host, life):
+    def list_instances(self, host, incarnation):
         """Send a host the instance list at each interval."""
-        if host.life != life:
+        if host.incarnation != incarnation:
             return
         if host.node.should_poll_instances():
             self.send_list(host)
-        self.clock.after(LIST_INTERVAL, self.list_instances, host, life)
+        self.clock.after(LIST_INTERVAL, self.list_instances, host, incarnation)
 
     def send_list(self, host):
         """Answer a host's request for the instance list."""
@@ -96,25 +96,25 @@
         )
         self.clock.after(self.extra_delay, host.feed, listed)
 
-    def load(self, host, life):
+    def load(self, host, incarnation):
         """Send a host all manifests, then start its watch loop."""
-        if host.life != life:
+        if host.incarnation != incarnation:
             return
         self.calls += 1
         cut = self.world.is_cut(host.name, "platform")
         if not self.down and not cut:
             snapshot = self.snapshot()
             self.clock.after(self.extra_delay, self.send_all, host, snapshot)
-        self.clock.after(WATCH_RETRY, self.watch, host, life)
+        self.clock.after(WATCH_RETRY, self.watch, host, incarnation)
 
-    def watch(self, host, life):
+    def watch(self, host, incarnation):
         """Reload a watcher, or a host without manifests, at each interval."""
-        if host.life != life:
+        if host.incarnation != incarnation:
             return
         if not host.loaded or host.node.manifests.is_watcher():
-            self.load(host, life)
+            self.load(host, incarnation)
         else:
-            self.clock.after(WATCH_RETRY, self.watch, host, life)
+            self.clock.after(WATCH_RETRY, self.watch, host, incarnation)
 
     def send_all(self, host, snapshot):
         """Deliver manifests to a host."""
--- a/tests/fakes/world.py
+++ b/tests/fakes/world.py
@@ -1,4 +1,4 @@
-"""Several daemons, a group and a platform in virtual time."""
+"""Simulation of several daemons, database groups and a platform in virtual time."""
 
 from random import Random
 
@@ -17,10 +17,10 @@
 from tests.fakes.host import Host
 from tests.fakes.platform import FakePlatform, accepted_manifest
 
-BETWEEN_DOMAINS = 0.001
+LINK_LATENCY = 0.001
 JITTER = 0.3
-REFUSED_AFTER = 0.002
-CLIENT_PATIENCE = 0.5
+REFUSAL_DELAY = 0.002
+CALLER_TIMEOUT = 0.5
 
 KINDS = (
     KindSpec(name="status", mode=Mode.READ, max_age_ms=2000.0),
@@ -41,7 +41,7 @@
     kinds=KINDS,
     members=("north", "south"),
 ):
-    """A manifest in the logic's form."""
+    """Return a manifest as the decision logic takes it."""
     return DatabaseSpec(
         name=name,
         version=version,
@@ -62,7 +62,7 @@
 
 
 class World:
-    """Everything, on one virtual clock, from one seed."""
+    """The whole simulation, on one virtual clock and deterministic by its seed."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         specs=(),
         service=0.002,
         tuning=DEFAULT_TUNING,
-        latency=BETWEEN_DOMAINS,
+        latency=LINK_LATENCY,
         node_class=None,
     ):
         self.seed = seed
@@ -88,7 +88,7 @@
         self.callers = {}
         self.requests = 0
         self.messages = 0
-        self.bodies = {}
+        self.manifests = {}
         self.platform = FakePlatform(world=self)
         specs = specs or (make_spec(),)
         for spec in specs:
@@ -107,16 +107,16 @@
             self.platform.connect_host(host)
 
     def add_group(self, spec, service):
-        """A database group and its manifest."""
+        """Add a database group and its manifest."""
         names = [item.id for item in spec.upstreams]
         self.groups[spec.name] = FakeGroup(
             world=self, names=names, slots=spec.upstreams[0].slots, service=service
         )
         self.platform.specs[spec.name] = spec
-        self.bodies[(spec.name, spec.version)] = spec
+        self.manifests[(spec.name, spec.version)] = spec
 
     def list_instances(self, *, without=(), leaving=()):
-        """Set the platform's list."""
+        """Set the platform's instance list."""
         daemons = [
             Instance(
                 id=name,
@@ -143,67 +143,67 @@
     # Network
 
     def latency(self, one, other):
-        """One way's time, a little different each time."""
+        """Return the seconds of one message, with jitter."""
         return self.base_latency * (1 + JITTER * self.rng.random())
 
     def cut(self, one, other):
-        """Cut a path, both ways."""
+        """Cut a path in both directions."""
         self.cuts.add(frozenset((one, other)))
 
     def heal(self, *paths):
-        """Mend some paths, or all."""
+        """Restore the given paths, or all."""
         for path in paths:
             self.cuts.discard(frozenset(path))
         if not paths:
             self.cuts.clear()
 
     def is_cut(self, one, other):
-        """Tell whether a path is cut."""
+        """Return whether a path is cut."""
         return frozenset((one, other)) in self.cuts
 
     def send(self, host, peer, message):
-        """Carry a message to a daemon; a dead one refuses the link."""
+        """Send a message to a daemon; a dead one refuses the link."""
         self.messages += 1
         target = self.hosts.get(peer)
         if self.is_cut(host.name, peer):
             return
         if target is None or not target.alive:
-            self.clock.after(REFUSED_AFTER, host.feed, PeerLost(peer=peer))
+            self.clock.after(REFUSAL_DELAY, host.feed, PeerLost(peer=peer))
             return
         self.clock.after(
             self.latency(host.name, peer), self.arrive, host.name, target, message
         )
 
     def arrive(self, sender, target, message):
-        """A message arrives unless the path was cut meanwhile."""
+        """Deliver a message unless its path was cut meanwhile."""
         if not self.is_cut(sender, target.name):
             target.message(sender, message)
 
     def manifest_of(self, entry):
-        """The manifest that an entry between daemons stands for."""
-        return accepted_manifest(self.bodies[(entry.database, entry.version)])
+        """Return the manifest for an entry exchanged between daemons."""
+        return accepted_manifest(self.manifests[(entry.database, entry.version)])
 
     # Steps
 
-    def reach(self, step, call):
-        """A call reached a step; whoever waits for that acts now."""
+    def run_hook(self, step, call):
+        """Run the hook of the step that a call has reached, if there is one."""
         hook = self.hooks.get(step)
         if hook is not None:
             hook(call)
 
     def after_event(self, host):
-        """A daemon has taken in an event."""
+        """Notify the observers that a daemon handled an event."""
         for observer in self.observers:
             observer.after_event(host)
 
     def service_factor(self, call):
-        """How much longer than usual a statement takes."""
+        """Return the factor on a statement's usual service time."""
         return 1.0
 
     # Callers
 
     def ask(self, host, verb, on_answer, *, deadline=5.0, database="grid", **fields):
-        """A caller's request; `on_answer` gets the final answer."""
+        """Send a caller's request; `on_answer` gets the final answer."""
         self.requests += 1
         name = f"r{self.requests}"
         fields.setdefault("key", f"auto-{name}")
@@ -216,12 +216,12 @@
             **fields,
         )
         self.callers[name] = (host, on_answer)
-        self.clock.after(deadline + CLIENT_PATIENCE, self.hang_up, name)
+        self.clock.after(deadline + CALLER_TIMEOUT, self.hang_up, name)
         self.hosts[host].feed(CallerRequest(request=request))
         return request
 
     def hang_up(self, name):
-        """A caller loses its connection, or its patience: it knows nothing."""
+        """Disconnect a caller, whose request then has an unknown outcome."""
         waiting = self.callers.pop(name, None)
         if waiting is None:
             return
@@ -229,14 +229,14 @@
         self.hosts[host].feed(CallerDisconnected(request=name))
         on_answer(Answer(request=name, outcome=Outcome.UNKNOWN, detail="hung up"))
 
-    def lose_callers(self, host):
-        """A daemon died: its callers' connections break."""
+    def disconnect_callers(self, host):
+        """Disconnect the callers of a daemon that died."""
         for name, (other, _) in list(self.callers.items()):
             if other == host:
-                self.clock.after(REFUSED_AFTER, self.hang_up, name)
+                self.clock.after(REFUSAL_DELAY, self.hang_up, name)
 
-    def replied(self, host, answer):
-        """A daemon answers a caller."""
+    def on_reply(self, host, answer):
+        """Pass a daemon's answer to its caller."""
         waiting = self.callers.pop(answer.request, None)
         for observer in self.observers:
             observer.answered(host, answer, waiting is None)
@@ -244,12 +244,12 @@
             waiting[1](answer)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance virtual time by `seconds`."""
         self.clock.run_until(self.clock.now + seconds)
 
 
 def put(cell, value, tag, kind="submit"):
-    """The fields of a write request."""
+    """Return the fields of a write request."""
     return {
         "verb": Verb.QUERY,
         "kind": kind,
@@ -259,7 +259,7 @@
 
 
 def get(cells, tag, kind="status"):
-    """The fields of a read request."""
+    """Return the fields of a read request."""
     return {
         "verb": Verb.QUERY,
         "kind": kind,
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -4,23 +4,25 @@
 and expects the checker to report the guarantee that it violates.
 """
 
-from gypsum_core.answers import Answers
 from gypsum_core.drain import Drain
 from gypsum_core.election import Election
-from gypsum_core.entry import Entry
 from gypsum_core.group import GroupView
 from gypsum_core.home import Home
 from gypsum_core.manifests import Manifests
 from gypsum_core.node import Node
-from gypsum_core.readdesk import ReadDesk
+from gypsum_core.readplacer import ReadPlacer
 from gypsum_core.records import Outcome
+from gypsum_core.responses import ResponseHandler
+from gypsum_core.router import RequestRouter
 
 
 def ignore_session_positions(patch):
     """Reads ignore the position of the caller's last write."""
-    patch.setattr(ReadDesk, "vouched", lambda self, job, claimed: True)
+    patch.setattr(ReadPlacer, "recent_writes_known", lambda self, job, claimed: True)
     patch.setattr(
-        ReadDesk, "floor", lambda self, job: type(self.recent.floor)(term=0, index=0)
+        ReadPlacer,
+        "floor",
+        lambda self, job: type(self.recent_writers.floor)(term=0, index=0),
     )
 
 
@@ -37,7 +39,7 @@
 
 def swap_answers(patch):
     """Two answers are swapped."""
-    original = Entry.reply
+    original = RequestRouter.reply
     held = []
 
     def reply(self, answer):
@@ -53,7 +55,7 @@
             original(one, replace(first, result=second.result))
             original(two, replace(second, result=first.result))
 
-    patch.setattr(Entry, "reply", reply)
+    patch.setattr(RequestRouter, "reply", reply)
 
 
 def report_unknown_as_not_run(patch):
@@ -72,15 +74,15 @@
 
 def retry_under_new_keys(patch):
     """A retry takes another key."""
-    original = Answers.run_again
+    original = ResponseHandler.requeue
 
-    def run_again(self, job):
+    def requeue(self, job):
         from dataclasses import replace
 
         job.request = replace(job.request, key=job.request.key + "-again")
         original(self, job)
 
-    patch.setattr(Answers, "run_again", run_again)
+    patch.setattr(ResponseHandler, "requeue", requeue)
 
 
 def ignore_leaving(patch):
