--- a/packages/links/gypsum_links/codec.py
+++ b/packages/links/gypsum_links/codec.py
@@ -1,4 +1,4 @@
-"""Messages between daemons as CBOR: `[message name, fields]`."""
+"""CBOR encoding of messages between daemons: `[message name, fields]`."""
 
 from functools import cache
 
@@ -9,35 +9,37 @@
 from gypsum_core.messages import Message
 
 MESSAGE_TYPES = {
-    kind.__name__: kind
-    for kind in vars(messages).values()
-    if isinstance(kind, type) and issubclass(kind, Message) and kind is not Message
+    message_type.__name__: message_type
+    for message_type in vars(messages).values()
+    if isinstance(message_type, type)
+    and issubclass(message_type, Message)
+    and message_type is not Message
 }
 
 
 class CodecError(ValueError):
-    """Bytes that are no message of ours."""
+    """Raised for bytes that are not a known message."""
 
 
 @cache
-def adapter(name):
-    """The validator of one message type."""
+def type_adapter(name):
+    """Return the validator of a message type."""
     return TypeAdapter(MESSAGE_TYPES[name])
 
 
 def encode(message):
-    """A message as bytes; fields at their default are left out."""
+    """Encode a message; fields with their default value are omitted."""
     name = type(message).__name__
-    fields = adapter(name).dump_python(message, exclude_defaults=True)
+    fields = type_adapter(name).dump_python(message, exclude_defaults=True)
     return cbor2.dumps([name, fields])
 
 
 def decode(data):
-    """A message from bytes; CodecError when it is not one."""
+    """Decode a message; raises CodecError if it is invalid."""
     try:
         name, fields = cbor2.loads(data)
         if name not in MESSAGE_TYPES:
             raise CodecError(f"unknown message {name!r}")
-        return adapter(name).validate_python(fields)
+        return type_adapter(name).validate_python(fields)
     except (cbor2.CBORDecodeError, ValidationError, TypeError, ValueError) as exc:
-        raise CodecError(f"not a message: {exc}") from exc
+        raise CodecError(f"invalid message: {exc}") from exc
--- a/packages/links/gypsum_links/frames.py
+++ b/packages/links/gypsum_links/frames.py
@@ -1,12 +1,14 @@
-"""Links that carry messages one way to ask and one way to answer.
+"""Websocket links between daemons that carry requests one way and responses back.
 
-Unlike `gypsum_links.links` a link belongs to the daemon that opened it: what it asked
-over a link ends with that link, so both ends know when it broke what is over.
+Unlike in `gypsum_links.links`, a link belongs to the daemon that opened it. A request
+ends with the link that it was sent over, so when a link breaks both daemons know which
+requests have ended.
 
-The websocket library is used without its tasks: a message is handed over in the turn of
-the loop in which its bytes came, and written in the turn in which it is sent. With a
-task for each direction a statement by way of another daemon took 17 ms more than one at
-home (median of 2,000 on machines with half a core), most of it turns of four loops.
+Uses the sans-I/O protocol of the websocket library instead of its tasks: a message is
+delivered in the event loop iteration that receives its bytes and written in the one
+that sends it. With a task for each direction, a forwarded statement took 17 ms longer
+than a local one (median of 2,000, machines with half a core), mostly spent in
+iterations of the four event loops involved.
 """
 
 import asyncio
@@ -26,27 +28,29 @@
 
 DAEMON_HEADER = "Gypsum-Daemon"
 KEY_HEADER = "Gypsum-Link-Key"
-# A message is a statement of at most a megabyte, or its rows, and some words around it.
-MOST_BYTES = 2 << 20
-# Bytes that wait for a slow link before it is given up: the longest message twice.
-BACKLOG_BYTES = 4 << 20
-# A link that brings this many bytes while a probe waits is busy, not silent: a second's
-# beats and news are some hundred, and 5 Mbit/s carry as many in 13 ms.
-BUSY_BYTES = 8 << 10
-# Bytes that are on their way unacknowledged for this long say that the way is gone.
-SILENCE_MS = 3000
-# A daemon shows its key at once; who has not within this many seconds is none.
+# A message holds a statement of at most 1 MB, or its rows, and some metadata.
+MAX_MESSAGE_BYTES = 2 << 20
+# A slow link is closed when more unsent bytes are queued: two of the longest messages.
+MAX_BACKLOG_BYTES = 4 << 20
+# A link that receives this many bytes during a probe is busy, not silent: heartbeats
+# and updates are some hundred bytes a second, and 5 Mbit/s carry 8 KiB in 13 ms.
+BUSY_THRESHOLD_BYTES = 8 << 10
+# TCP closes the connection when sent data stays unacknowledged for this long.
+UNACKED_TIMEOUT_MS = 3000
+# Daemons send their key immediately; a peer that has not sent it within this many
+# seconds is not a daemon.
 HANDSHAKE_TIMEOUT = 1.0
-# The library writes lines of plain text into logs of which every line is JSON; what it
-# has to say of a link its receiver is told.
-QUIET = logging.getLogger("gypsum_links.websockets")
-QUIET.setLevel(logging.CRITICAL + 1)
+# The library would write plain text lines into logs in which every line is JSON. Its
+# link errors reach the receiver through `link_lost`.
+SILENCED_LOGGER = logging.getLogger("gypsum_links.websockets")
+SILENCED_LOGGER.setLevel(logging.CRITICAL + 1)
 
 
 class FrameLink(asyncio.Protocol):
     """One open link.
 
-    `receiver` gets each message by `frame_received(data)`, and `link_lost(why)` once.
+    `receiver.frame_received(data)` is called for each message, and
+    `receiver.link_lost(reason)` once.
     """
 
     def __init__(self, *, protocol, receiver=None):
@@ -55,84 +59,84 @@
         self.transport = None
         self.alive = True
         self.probes = deque()
-        self.received = 0
+        self.bytes_received = 0
 
     # asyncio.Protocol
 
     def connection_made(self, transport):
-        """The connection is open; the handshake comes next."""
+        """Set the socket options; the handshake follows."""
         self.transport = transport
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS)
 
     def data_received(self, data):
-        """Bytes came."""
+        """Handle the messages that received bytes complete."""
         if not self.alive:
             return
-        self.received += len(data)
+        self.bytes_received += len(data)
         self.protocol.receive_data(data)
         for event in self.protocol.events_received():
             if self.alive:
-                self.take(event)
+                self.handle_event(event)
         self.flush()
         if self.alive and self.protocol.close_expected():
-            self.end("closed by the other end")
+            self.fail("closed by the peer")
 
     def connection_lost(self, exc):
-        """The connection ended."""
-        self.end(str(exc or "closed by the other end"))
+        """Report that the connection was closed."""
+        self.fail(str(exc or "closed by the peer"))
 
     # Messages
 
-    def take(self, event):
-        """One event of the protocol."""
+    def handle_event(self, event):
+        """Handle an event of the websocket protocol."""
         if not isinstance(event, Frame):
-            self.take_handshake(event)
+            self.handle_handshake(event)
         elif event.opcode is Opcode.BINARY and event.fin:
             self.receiver.frame_received(bytes(event.data))
         elif event.opcode is Opcode.PONG:
-            self.probe_answered()
+            self.handle_pong()
         elif event.opcode is Opcode.CLOSE:
-            self.end("closed by the other end")
+            self.fail("closed by the peer")
 
-    def take_handshake(self, event):
-        """The other end's part of the handshake."""
+    def handle_handshake(self, event):
+        """Handle the peer's handshake message."""
         raise NotImplementedError
 
     @property
     def backlog(self):
-        """Bytes that wait to be sent."""
+        """Number of bytes queued for sending."""
         return self.transport.get_write_buffer_size() if self.alive else 0
 
     def send(self, data):
-        """Send a message; False if the link is gone or too slow."""
+        """Send a message; return False if the link is closed or too slow."""
         if not self.alive:
             return False
-        if self.backlog > BACKLOG_BYTES:
-            self.end("too slow")
+        if self.backlog > MAX_BACKLOG_BYTES:
+            self.fail("peer reads too slowly")
             return False
         self.protocol.send_binary(data)
         self.flush()
         return True
 
     def flush(self):
-        """Hand what the protocol wants to send to the transport."""
+        """Write the protocol's pending data to the transport."""
         for data in self.protocol.data_to_send():
             if data and not self.transport.is_closing():
                 self.transport.write(data)
 
     async def probe(self, timeout):
-        """Tell whether the other end answers a ping in time, or the link is busy.
+        """Return whether the peer answers a ping in time, or the link is busy.
 
-        What goes wrong if only the answer to the ping counts: it waits behind a message
-        of a megabyte, which takes a link of 5 Mbit/s 1.7 s, and all that was asked over
-        the link is in doubt. With any byte counted, one whose other end hears nothing
-        of us stays as long as that one has something to say.
+        The pong alone isn't enough: queued behind a message of 1 MB, it takes 1.7 s on
+        a link of 5 Mbit/s, and closing the link would leave all its requests in doubt.
+        Nor does any received byte count: a link that is cut in the sending direction
+        would stay open as long as the peer sends data.
         """
         if not self.alive:
             return False
-        before = self.received
+        before = self.bytes_received
         answered = asyncio.get_running_loop().create_future()
         self.probes.append(answered)
         self.protocol.send_ping(b"")
@@ -141,27 +145,27 @@
             async with asyncio.timeout(timeout):
                 return await answered
         except TimeoutError:
-            return self.received - before >= BUSY_BYTES
+            return self.bytes_received - before >= BUSY_THRESHOLD_BYTES
 
-    def probe_answered(self):
-        """A pong came: it answers the pings in their order."""
+    def handle_pong(self):
+        """Complete the oldest probe; pongs arrive in the order of the pings."""
         if self.probes:
             answered = self.probes.popleft()
             if not answered.done():
                 answered.set_result(True)
 
-    # Ends
+    # Closing
 
-    def end(self, why):
-        """The link is gone: say so, once."""
+    def fail(self, reason):
+        """Close the link and notify the receiver, once."""
         if not self.alive:
             return
         self.close()
         if self.receiver is not None:
-            self.receiver.link_lost(why)
+            self.receiver.link_lost(reason)
 
     def close(self):
-        """Close at once, what is queued included; the receiver is not told."""
+        """Abort the connection, drop queued data; the receiver isn't notified."""
         self.alive = False
         while self.probes:
             answered = self.probes.popleft()
@@ -172,57 +176,59 @@
 
 
 class DialledLink(FrameLink):
-    """The end of a link that opened it; `opened` is done with the handshake."""
+    """An outgoing link; the future `opened` completes with the handshake."""
 
     def __init__(self, *, address, daemon, key, receiver):
         protocol = ClientProtocol(
-            parse_uri(f"ws://{address}"), max_size=MOST_BYTES, logger=QUIET
+            parse_uri(f"ws://{address}"),
+            max_size=MAX_MESSAGE_BYTES,
+            logger=SILENCED_LOGGER,
         )
         super().__init__(protocol=protocol, receiver=receiver)
         self.headers = {DAEMON_HEADER: daemon, KEY_HEADER: key}
         self.opened = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport):
-        """Send our part of the handshake."""
+        """Send the handshake request."""
         super().connection_made(transport)
-        req = self.protocol.connect()
+        request = self.protocol.connect()
         for name, value in self.headers.items():
-            req.headers[name] = value
-        self.protocol.send_request(req)
+            request.headers[name] = value
+        self.protocol.send_request(request)
         self.flush()
 
-    def take_handshake(self, event: Response):
-        """The other end accepted or refused."""
+    def handle_handshake(self, event: Response):
+        """Complete `opened` with the peer's response."""
         if self.opened.done():
             return
         if self.protocol.state is OPEN:
             self.opened.set_result(self)
         else:
-            self.fail_open(f"not accepted: {event.status_code}")
+            self.open_failed(f"handshake refused: HTTP {event.status_code}")
 
-    def fail_open(self, why):
-        """The link did not come to be."""
+    def open_failed(self, reason):
+        """Fail `opened` with an OSError."""
         if not self.opened.done():
-            self.opened.set_exception(OSError(why))
+            self.opened.set_exception(OSError(reason))
 
-    def end(self, why):
-        """The link is gone, or never came to be."""
+    def fail(self, reason):
+        """Close the link; fail `opened` if the handshake wasn't complete."""
         if self.opened.done():
-            super().end(why)
+            super().fail(reason)
             return
-        self.fail_open(why)
+        self.open_failed(reason)
         self.close()
 
 
 class FrameDialer:
-    """Opens links; `key` gives the key that all daemons share."""
+    """Opens links; `key` returns the key that all daemons share."""
 
     def __init__(self, *, daemon, key: Callable[[], str]):
         self.daemon = daemon
         self.key = key
 
     async def dial(self, address, receiver, *, timeout):
-        """Open a link; raises OSError if that fails."""
+        """Open a link; raises OSError on failure or after `timeout` seconds."""
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(":")
         link = DialledLink(
@@ -238,34 +244,36 @@
 
 
 class AcceptedLink(FrameLink):
-    """The end of a link that was opened to us."""
+    """An incoming link."""
 
     def __init__(self, *, server):
-        super().__init__(protocol=ServerProtocol(max_size=MOST_BYTES, logger=QUIET))
+        super().__init__(
+            protocol=ServerProtocol(max_size=MAX_MESSAGE_BYTES, logger=SILENCED_LOGGER)
+        )
         self.server = server
 
     def connection_made(self, transport):
-        """A peer has connected; it has a moment to say who it is."""
+        """Start the handshake timeout of a new connection."""
         super().connection_made(transport)
         loop = asyncio.get_running_loop()
-        loop.call_later(HANDSHAKE_TIMEOUT, self.end_strangers)
+        loop.call_later(HANDSHAKE_TIMEOUT, self.close_unidentified)
 
-    def end_strangers(self):
-        """Close a connection over which no link was opened in time."""
+    def close_unidentified(self):
+        """Close the connection if its handshake is not complete."""
         if self.receiver is None:
-            self.end("no handshake")
+            self.fail("handshake timed out")
 
-    def take_handshake(self, event: Request):
-        """Refuse a daemon that does not know the key, or comes before we do."""
+    def handle_handshake(self, event: Request):
+        """Refuse a peer with a wrong key, or any while this daemon has no key yet."""
         peer = event.headers.get(DAEMON_HEADER, "")
-        refused = self.server.why_refused(event.headers.get(KEY_HEADER, ""))
+        refused = self.server.refusal_reason(event.headers.get(KEY_HEADER, ""))
         if refused:
             self.server.report(refused, peer)
             self.protocol.send_response(
                 self.protocol.reject(HTTPStatus.FORBIDDEN, f"{refused}\n")
             )
             self.flush()
-            self.end(refused)
+            self.fail(refused)
             return
         self.protocol.send_response(self.protocol.accept(event))
         if self.protocol.state is OPEN:
@@ -274,9 +282,10 @@
 
 
 class FrameServer:
-    """Accepts links for as long as we run; `accept(peer)` makes a receiver of each.
+    """Accepts links until the process ends.
 
-    It is told with `opened(link)` when its link is open.
+    `accept(peer)` returns the receiver for a link, whose `opened(link)` is called when
+    the link is open. `report(reason, peer)` is called for each refused peer.
     """
 
     def __init__(self, *, key: Callable[[], str], accept, report):
@@ -286,15 +295,15 @@
         self.server = None
 
     async def listen(self, host, port):
-        """Accept links at an address; returns the port."""
+        """Listen on an address and return the port."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
             lambda: AcceptedLink(server=self), host, port
         )
         return self.server.sockets[0].getsockname()[1]
 
-    def why_refused(self, offered):
-        """Why a daemon that offers a key is refused; empty if it is not."""
+    def refusal_reason(self, offered):
+        """Return why a peer with this key is refused, or an empty string."""
         key = self.key()
         if not key:
             return "no key yet"
--- a/packages/links/gypsum_links/links.py
+++ b/packages/links/gypsum_links/links.py
@@ -1,4 +1,4 @@
-"""One multiplexed websocket per pair of daemons that have something to say."""
+"""One multiplexed websocket for each pair of communicating daemons."""
 
 import asyncio
 import hmac
@@ -15,34 +15,36 @@
 from gypsum_links.codec import CodecError, decode, encode
 
 DIAL_TIMEOUT = 1.0
-MAX_MESSAGE = 1 << 26
-BACKLOG = 10_000
+MAX_MESSAGE_BYTES = 1 << 26
+MAX_QUEUED_MESSAGES = 10_000
 DAEMON_HEADER = "Gypsum-Daemon"
 SECRET_HEADER = "Gypsum-Link-Secret"
 
 
 class Receiver(Protocol):
-    """Who gets what arrives."""
+    """Receives messages and link losses."""
 
     def message_arrived(self, peer: str, message: Message) -> None:
-        """A message came from a peer."""
+        """Handle a message from a peer."""
 
     def link_lost(self, peer: str) -> None:
-        """The link to a peer broke or could not be opened."""
+        """Handle a link that broke or could not be opened."""
 
 
 @dataclass(kw_only=True, eq=False)
 class Link:
-    """A link to one peer: a queue that a task writes out in order."""
+    """A link to one peer, with a queue that a task sends in order."""
 
     peer: str
-    outbox: asyncio.Queue = field(default_factory=lambda: asyncio.Queue(BACKLOG))
+    outbox: asyncio.Queue = field(
+        default_factory=lambda: asyncio.Queue(MAX_QUEUED_MESSAGES)
+    )
     socket: object = None
     task: asyncio.Task | None = None
 
 
 class Links:
-    """Opens links when there is something to send, keeps them while they work."""
+    """Opens links on demand and keeps them until they break."""
 
     def __init__(
         self,
@@ -63,21 +65,21 @@
         self.closing = False
 
     async def listen(self, host, port):
-        """Accept links; returns the port."""
+        """Listen for links and return the port."""
         self.server = await serve(
             self.accept,
             host,
             port,
             process_request=self.check_secret,
-            max_size=MAX_MESSAGE,
+            max_size=MAX_MESSAGE_BYTES,
             compression=None,
             ping_interval=None,
         )
         return self.server.sockets[0].getsockname()[1]
 
-    def check_secret(self, connection, req):
-        """Refuse a peer that does not know the link secret."""
-        offered = req.headers.get(SECRET_HEADER, "")
+    def check_secret(self, connection, request):
+        """Refuse a peer with a wrong link secret."""
+        offered = request.headers.get(SECRET_HEADER, "")
         if not hmac.compare_digest(offered.encode(), self.secret.encode()):
             return connection.respond(HTTPStatus.FORBIDDEN, "wrong link secret\n")
         return None
@@ -88,21 +90,22 @@
         if not peer:
             return
         if peer not in self.links:
-            self.adopt(peer, socket)
-        await self.receive(peer, socket)
+            self.register_accepted(peer, socket)
+        await self.receive_messages(peer, socket)
 
-    def adopt(self, peer, socket):
-        """Use a link that the peer opened for our own messages too.
+    def register_accepted(self, peer, socket):
+        """Send messages over a link that the peer opened.
 
-        Only when we have none: two daemons that dial each other at the same time
-        would each give up their own link for the other's, and both would close.
+        Used only if this daemon has no link to the peer: two daemons that dial each
+        other at the same time would each replace their own link by the other's, and
+        both links would be closed.
         """
         link = Link(peer=peer, socket=socket)
-        link.task = asyncio.ensure_future(self.write_out(link))
+        link.task = asyncio.ensure_future(self.send_queued(link))
         self.links[peer] = link
 
     def send(self, peer, message):
-        """Queue a message; a link that cannot take it counts as lost."""
+        """Queue a message; a link whose queue is full is dropped."""
         link = self.links.get(peer)
         if link is None:
             link = Link(peer=peer)
@@ -111,11 +114,11 @@
         try:
             link.outbox.put_nowait(encode(message))
         except asyncio.QueueFull:
-            self.report(f"{peer}: backlog is full, link dropped")
+            self.report(f"{peer}: send queue full, link dropped")
             self.drop(link)
 
     async def dial(self, link):
-        """Open a link and use it until it breaks."""
+        """Open a link and send its messages until it breaks."""
         address = self.address_of(link.peer)
         if not address:
             self.drop(link)
@@ -126,7 +129,7 @@
                 f"ws://{address}",
                 additional_headers=headers,
                 open_timeout=DIAL_TIMEOUT,
-                max_size=MAX_MESSAGE,
+                max_size=MAX_MESSAGE_BYTES,
                 compression=None,
                 ping_interval=None,
                 proxy=None,
@@ -136,14 +139,14 @@
             self.drop(link)
             return
         link.socket = socket
-        reader = asyncio.ensure_future(self.receive(link.peer, socket))
+        reader = asyncio.ensure_future(self.receive_messages(link.peer, socket))
         try:
-            await self.write_out(link)
+            await self.send_queued(link)
         finally:
             reader.cancel()
             await socket.close()
 
-    async def write_out(self, link):
+    async def send_queued(self, link):
         """Send queued messages until the link breaks."""
         try:
             while True:
@@ -152,8 +155,8 @@
         except WebSocketException:
             self.drop(link)
 
-    async def receive(self, peer, socket):
-        """Hand over what arrives until the link breaks."""
+    async def receive_messages(self, peer, socket):
+        """Deliver received messages until the link breaks."""
         try:
             async for data in socket:
                 self.receiver.message_arrived(peer, decode(data))
@@ -166,7 +169,7 @@
             self.drop(link)
 
     def reset(self, peer):
-        """Close a link that has gone silent; its loss is known already."""
+        """Close a silent link without calling `link_lost`: the caller knows already."""
         link = self.links.pop(peer, None)
         if link is None:
             return
@@ -175,7 +178,7 @@
             link.socket.transport.abort()
 
     def drop(self, link):
-        """Forget a link; messages still queued are lost and reported as such."""
+        """Remove a link and its queued messages, and report the loss."""
         if self.links.get(link.peer) is not link:
             return
         del self.links[link.peer]
@@ -185,7 +188,7 @@
             self.receiver.link_lost(link.peer)
 
     async def close(self):
-        """Send what is queued, say goodbye on every link, stop listening."""
+        """Flush the queues, close all links and stop listening."""
         self.closing = True
         await self.flush()
         for link in list(self.links.values()):
@@ -197,7 +200,7 @@
             await self.server.wait_closed()
 
     async def flush(self):
-        """Give queued messages a bounded time to leave."""
+        """Wait up to 0.5 s for queued messages to be sent."""
         for _ in range(50):
             if all(link.outbox.empty() for link in self.links.values()):
                 return
--- a/tests/links/test_frames.py
+++ b/tests/links/test_frames.py
@@ -1,4 +1,4 @@
-"""Links over loopback sockets: the handshake, messages, ends, silence."""
+"""Tests links over loopback sockets: handshake, messages, losses, silence."""
 
 import asyncio
 
@@ -8,34 +8,34 @@
 
 
 class Receiver:
-    """Keeps what arrives; `echo` sends it back."""
+    """Records messages and losses; sends messages back if `echo` is set."""
 
     def __init__(self, echo=False):
         self.echo = echo
-        self.frames = None
-        self.got = []
-        self.ends = []
-        self.came = asyncio.Event()
+        self.link = None
+        self.messages = []
+        self.losses = []
+        self.event = asyncio.Event()
 
-    def opened(self, frames):
-        """The link is open."""
-        self.frames = frames
+    def opened(self, link):
+        """Keep the open link."""
+        self.link = link
 
     def frame_received(self, data):
-        """A message came."""
-        self.got.append(data)
-        self.came.set()
+        """Record a message."""
+        self.messages.append(data)
+        self.event.set()
         if self.echo:
-            self.frames.send(data)
+            self.link.send(data)
 
-    def link_lost(self, why):
-        """The link is gone."""
-        self.ends.append(why)
-        self.came.set()
+    def link_lost(self, reason):
+        """Record the loss of the link."""
+        self.losses.append(reason)
+        self.event.set()
 
 
 async def serve(key="secret"):
-    """A server that echoes: its address, its receivers and its reports."""
+    """Start an echo server; return its address, receivers and reports."""
     receivers, reports = [], []
 
     def accept(peer):
@@ -43,33 +43,33 @@
         return receivers[-1]
 
     server = FrameServer(
-        key=lambda: key, accept=accept, report=lambda *why: reports.append(why)
+        key=lambda: key, accept=accept, report=lambda *args: reports.append(args)
     )
     port = await server.listen("127.0.0.1", 0)
     return f"127.0.0.1:{port}", receivers, reports
 
 
 def dialer(key="secret"):
-    """A dialer that shows a key."""
+    """Return a dialer with a key."""
     return FrameDialer(daemon="d1", key=lambda: key)
 
 
-async def come(receiver):
-    """Wait for what comes next."""
+async def wait_event(receiver):
+    """Wait for the next message or loss."""
     async with asyncio.timeout(5.0):
-        await receiver.came.wait()
-    receiver.came.clear()
+        await receiver.event.wait()
+    receiver.event.clear()
 
 
 @pytest.mark.parametrize("size", [0, 1, 125, 126, 70_000, 1 << 20])
-def test_messages_of_any_size_come_whole(size):
+def test_messages_of_any_size_arrive_whole(size):
     async def main():
         address, _, _ = await serve()
         receiver = Receiver()
         link = await dialer().dial(address, receiver, timeout=5.0)
         assert link.send(b"x" * size)
-        await come(receiver)
-        assert receiver.got == [b"x" * size]
+        await wait_event(receiver)
+        assert receiver.messages == [b"x" * size]
 
     asyncio.run(main())
 
@@ -85,20 +85,20 @@
     asyncio.run(main())
 
 
-def test_both_ends_are_told_once_when_a_link_is_gone():
+def test_the_peer_is_notified_once_of_a_closed_link():
     async def main():
         address, receivers, _ = await serve()
         receiver = Receiver()
         link = await dialer().dial(address, receiver, timeout=5.0)
         link.close()
-        await come(receivers[0])
-        assert len(receivers[0].ends) == 1 and receiver.ends == []
+        await wait_event(receivers[0])
+        assert len(receivers[0].losses) == 1 and receiver.losses == []
         assert not link.send(b"x")
 
     asyncio.run(main())
 
 
-def test_a_probe_is_answered_while_the_other_end_lives():
+def test_a_probe_succeeds_only_while_the_peer_responds():
     async def main():
         address, receivers, _ = await serve()
         link = await dialer().dial(address, Receiver(), timeout=5.0)
@@ -109,7 +109,7 @@
     asyncio.run(main())
 
 
-def test_an_address_that_nobody_listens_at_is_an_error():
+def test_dialling_a_closed_port_raises_oserror():
     async def main():
         with pytest.raises(OSError):
             await dialer().dial("127.0.0.1:1", Receiver(), timeout=5.0)
@@ -117,12 +117,12 @@
     asyncio.run(main())
 
 
-def test_one_that_never_answers_is_an_error_in_time():
+def test_dialling_a_silent_server_times_out():
     async def main():
-        async def be_silent(reader, writer):
+        async def never_respond(reader, writer):
             await asyncio.sleep(60)
 
-        server = await asyncio.start_server(be_silent, "127.0.0.1", 0)
+        server = await asyncio.start_server(never_respond, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         with pytest.raises(OSError):
             await dialer().dial(f"127.0.0.1:{port}", Receiver(), timeout=0.1)
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("data", [b"nonsense\r\n\r\n", b"\x00" * 200])
-def test_bytes_that_are_no_link_end_it(data):
+def test_invalid_handshakes_close_the_connection(data):
     async def main():
         address, receivers, _ = await serve()
         host, port = address.split(":")
@@ -144,11 +144,10 @@
     asyncio.run(main())
 
 
-def test_the_library_writes_nothing_into_the_logs(caplog):
-    """Symptom: a line of plain text in logs of which every line is JSON.
+def test_the_websocket_library_logs_nothing(caplog):
+    """Guards against plain text lines in logs in which every line is JSON.
 
-    Sequence: a daemon opens a link, another one is refused. Cause: the library's own
-    logger tells of both.
+    The library's own logger reports opened and refused links.
     """
 
     async def main():
@@ -163,12 +162,11 @@
     assert [item for item in caplog.records if "websockets" in item.name] == []
 
 
-def test_a_link_on_which_a_long_message_arrives_is_not_silent():
-    """Symptom: statements are in doubt though the daemon that they were sent to lives.
+def test_a_link_that_receives_a_long_message_is_not_silent():
+    """Guards against statements left in doubt although their daemon is running.
 
-    Sequence: its answer to another one takes the link longer than a probe may take;
-    the answer to the probe comes after it. Cause: only that was a sign of life, not
-    the bytes before it.
+    The response to another statement takes the link longer than the probe's timeout,
+    and the pong comes after it. If only the pong counted, the link would be closed.
     """
 
     async def main():
@@ -184,11 +182,11 @@
     asyncio.run(main())
 
 
-def test_a_link_that_only_tells_and_does_not_hear_is_silent():
-    """Symptom: statements wait for seconds though other owners would answer them.
+def test_a_link_cut_in_the_sending_direction_is_silent():
+    """Guards against statements that wait for seconds although other owners are free.
 
-    Sequence: a link is cut one way; the other end's news still come, until its own
-    kernel gives up. Cause: they were taken for an answer.
+    A link is cut in the sending direction only, and the peer's updates still arrive
+    until its kernel closes the connection. They must not count as an answer to a probe.
     """
 
     async def main():
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages survive the wire, and foreign bytes are refused."""
+"""Tests that messages survive encoding and that invalid bytes are refused."""
 
 import pytest
 
@@ -55,17 +55,13 @@
     ],
     ids=lambda message: type(message).__name__,
 )
-def test_message_survives(message):
+def test_messages_survive_encoding_and_decoding(message):
     assert decode(encode(message)) == message
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff", b"\x82", encode(Ping(nonce=1))[:-1]])
-def test_truncated_or_foreign_bytes_are_refused(data):
-    """
-    Symptom it guards against: half an answer is passed on as a whole one.
-    Sequence: a message is cut off on its way.
-    Cause it would have: a decoder that takes what it got.
-    """
+def test_truncated_or_invalid_bytes_are_refused(data):
+    """Guards against a response that is truncated in transit and decoded as whole."""
     with pytest.raises(CodecError):
         decode(data)
 
