--- a/packages/daemon/gypsum_daemon/desk.py
+++ b/packages/daemon/gypsum_daemon/callercontext.py
@@ -1,4 +1,4 @@
-"""What all callers' requests of one daemon are checked against."""
+"""Checks that all requests of callers share."""
 
 import hashlib
 import hmac
@@ -11,8 +11,8 @@
 DEFAULT_DEADLINE_MS = 5000.0
 
 
-class Stop(Exception):
-    """The request ends here with a problem."""
+class RequestRejected(Exception):
+    """Raised to reject a request with a problem document."""
 
     def __init__(self, problem):
         super().__init__(problem.detail)
@@ -20,12 +20,14 @@
 
 
 def bad_request(detail, status=HTTPStatus.BAD_REQUEST):
-    """A problem of the request itself: nothing ran."""
-    return Stop(Problem(status=status, reason=str(Reason.BAD_REQUEST), detail=detail))
+    """Return the rejection of an invalid request; nothing ran."""
+    return RequestRejected(
+        Problem(status=status, reason=str(Reason.BAD_REQUEST), detail=detail)
+    )
 
 
-class Desk:
-    """What the handlers of one daemon share."""
+class CallerContext:
+    """The state and checks that the callers' handlers of a daemon share."""
 
     def __init__(self, *, shell, metrics, settings):
         self.shell = shell
@@ -36,9 +38,9 @@
         )
 
     def check_ready(self):
-        """Take no callers before the manifests are known."""
+        """Reject requests until the manifests are loaded."""
         if not self.shell.node.manifests.ready:
-            raise Stop(
+            raise RequestRejected(
                 Problem(
                     status=HTTPStatus.SERVICE_UNAVAILABLE,
                     reason=str(Reason.NO_HOME),
@@ -48,11 +50,11 @@
             )
 
     def check_member(self, database, member, offered):
-        """Refuse a caller that does not hold a key of the member it names."""
+        """Reject a caller without a valid key of the member that it names."""
         spec = self.shell.node.spec(database)
         hashes = spec.key_hashes_by_member.get(member, ()) if spec else ()
         digest = hashlib.sha256(offered.encode()).hexdigest()
-        # All are compared, so that the time taken tells nothing about them.
+        # Compares all hashes, so that the time taken reveals nothing about them.
         known = [hmac.compare_digest(digest, item) for item in hashes]
         if hashes and not any(known):
             raise bad_request(
@@ -61,7 +63,7 @@
             )
 
     def default_deadline_ms(self, database, kind):
-        """The deadline that the manifest gives a kind."""
+        """Return the manifest's deadline for a kind, in milliseconds."""
         spec = self.shell.node.spec(database)
         if spec is None:
             raise bad_request(f"unknown database {database!r}", HTTPStatus.NOT_FOUND)
@@ -69,6 +71,6 @@
         return known.deadline_ms if known else DEFAULT_DEADLINE_MS
 
     def count(self, req, answer, seconds):
-        """Count an answer."""
+        """Record an answer in the metrics."""
         spec = self.shell.node.spec(req.database)
         self.metrics.answered(req, spec, answer, seconds)
--- a/packages/daemon/gypsum_daemon/callers.py
+++ b/packages/daemon/gypsum_daemon/callers.py
@@ -9,7 +9,7 @@
 from gypsum_core.records import Outcome, Reason, Request, Statement, Verb
 from gypsum_core.tokens import TokenError, decode_token, encode_token
 from gypsum_daemon.bodies import BeginBody, EndBody, QueryBody, TxQueryBody
-from gypsum_daemon.desk import MEMBER_KEY_HEADER, Stop, bad_request
+from gypsum_daemon.callercontext import MEMBER_KEY_HEADER, RequestRejected, bad_request
 from gypsum_daemon.problems import CONTENT_TYPE, Problem, problem_of
 from gypsum_model.base import parse_model
 from gypsum_model.errors import UserError
@@ -26,9 +26,9 @@
 class CallerHandler(RequestHandler):
     """What all callers' requests share: size bound, checks, answers."""
 
-    def initialize(self, desk):
-        """Take the desk that all handlers of a daemon share."""
-        self.desk = desk
+    def initialize(self, context):
+        """Keep the context that all handlers of a daemon share."""
+        self.context = context
         self.chunks = []
         self.size = 0
         self.request_id = ""
@@ -42,16 +42,16 @@
         the reason.
         """
         self.size += len(chunk)
-        if self.size > self.desk.max_body:
+        if self.size > self.context.max_body:
             self.chunks.clear()
             return
         self.chunks.append(chunk)
 
     def check_size(self):
         """Refuse a body that was over the bound."""
-        if self.size > self.desk.max_body:
+        if self.size > self.context.max_body:
             raise bad_request(
-                f"the body is larger than {self.desk.max_body} bytes",
+                f"the body is larger than {self.context.max_body} bytes",
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             )
 
@@ -66,15 +66,15 @@
         """Build a request, have it answered, write the answer."""
         try:
             self.check_size()
-            self.desk.check_ready()
+            self.context.check_ready()
             req = make_request(*args)
             self.request_id = req.id
-            answer = await self.desk.shell.ask(req)
-        except Stop as stop:
-            self.write_problem(stop.problem)
+            answer = await self.context.shell.ask(req)
+        except RequestRejected as rejection:
+            self.write_problem(rejection.problem)
             return
-        self.desk.count(req, answer, time.monotonic() - self.begun)
-        if self.desk.shell.node.ctx.draining:
+        self.context.count(req, answer, time.monotonic() - self.begun)
+        if self.context.shell.node.ctx.draining:
             self.set_header("Connection", "close")
         self.set_session(req, answer)
         if answer.outcome is not Outcome.DONE:
@@ -89,7 +89,7 @@
                 answer.position,
                 database=req.database,
                 member=req.member,
-                keys=self.desk.keys,
+                keys=self.context.keys,
             )
             self.set_header(SESSION_HEADER, token)
         elif SESSION_HEADER in self.request.headers:
@@ -139,13 +139,13 @@
     def on_connection_close(self):
         """The caller hung up."""
         super().on_connection_close()
-        self.desk.shell.caller_gone(self.request_id)
+        self.context.shell.caller_gone(self.request_id)
 
     # Building requests
 
     def make(self, verb, database, member, **fields):
         """A request from the headers and what its body said."""
-        self.desk.check_member(
+        self.context.check_member(
             database, member, self.request.headers.get(MEMBER_KEY_HEADER, "")
         )
         key = self.request.headers.get(KEY_HEADER, "")
@@ -153,14 +153,14 @@
             raise bad_request(f"{KEY_HEADER} is longer than {MAX_KEY} characters")
         kind = fields.get("kind", "")
         return Request(
-            id=self.desk.shell.node.ctx.token(),
+            id=self.context.shell.node.ctx.token(),
             verb=verb,
             database=database,
             member=member,
             deadline=time.monotonic() + self.deadline_ms(database, kind) / 1000,
             caller=self.request.headers.get(CALLER_HEADER, ""),
             session=self.session(database, member),
-            key=key or self.desk.shell.node.ctx.token(),
+            key=key or self.context.shell.node.ctx.token(),
             keyed=bool(key),
             **fields,
         )
@@ -169,7 +169,7 @@
         """The caller's deadline, else its kind's."""
         given = self.request.headers.get(DEADLINE_HEADER)
         if given is None:
-            return self.desk.default_deadline_ms(database, kind)
+            return self.context.default_deadline_ms(database, kind)
         try:
             value = float(given)
         except ValueError:
@@ -185,7 +185,7 @@
             return None
         try:
             return decode_token(
-                token, database=database, member=member, keys=self.desk.keys
+                token, database=database, member=member, keys=self.context.keys
             )
         except TokenError as exc:
             raise bad_request(f"{SESSION_HEADER}: {exc}", HTTPStatus.FORBIDDEN) from exc
@@ -268,11 +268,11 @@
         return self.make(Verb.OUTCOME, database, member)
 
 
-def make_application(desk):
+def make_application(context):
     """The callers' application."""
     database = r"/v1/([a-z0-9_-]{1,63})"
     tx = database + r"/transactions/([a-z0-9_.-]{1,128})"
-    shared = {"desk": desk}
+    shared = {"context": context}
     return Application(
         [
             (database + r"/query", QueryHandler, shared),
--- a/packages/daemon/gypsum_daemon/main.py
+++ b/packages/daemon/gypsum_daemon/main.py
@@ -12,7 +12,7 @@
 from tornado.netutil import bind_sockets
 
 from gypsum_daemon import callers, logs, operators
-from gypsum_daemon.desk import Desk
+from gypsum_daemon.callercontext import CallerContext
 from gypsum_daemon.feed import PlatformFeed
 from gypsum_daemon.metrics import Metrics
 from gypsum_daemon.shell import Shell
@@ -52,9 +52,9 @@
     """Run the daemon until it has drained."""
     shell = Shell(settings=settings)
     metrics = Metrics()
-    desk = Desk(shell=shell, metrics=metrics, settings=settings)
+    context = CallerContext(shell=shell, metrics=metrics, settings=settings)
     caller_server = HTTPServer(
-        callers.make_application(desk), max_body_size=DISCARDED_BODY_LIMIT
+        callers.make_application(context), max_body_size=DISCARDED_BODY_LIMIT
     )
     operator_server = HTTPServer(operators.make_application(shell, metrics))
     ports = Ports(
