--- a/packages/sessions/gypsum_sessions/daemons/usage.py
+++ b/packages/sessions/gypsum_sessions/daemons/usage.py
@@ -1,43 +1,43 @@
-"""Leave for operations: asked of a workspace's home, or counted here as one.
+"""Limits the operations of workspaces, by grants from each workspace's home.
 
-All that wait at a daemon for the same workspace share one question to its home. Where a
-home does not answer the next daemon of the order counts in its place, once it has seen
-for itself that the home is away.
+All operations of a workspace that wait at a daemon share one request to its home. If
+the home does not answer, the next daemon in order grants in its place, after it has
+itself found the home unreachable.
 """
 
 import asyncio
 from dataclasses import dataclass
 
-from gypsum_policy.usage import (
-    FIRST_GRANTS,
-    REFUSED_FOR,
-    Bucket,
-    first_tokens,
-    lone_cap,
-    stand_in_cap,
+from gypsum_policy.ratelimit import (
+    INITIAL_TOKENS,
+    REFUSAL_VALID_FOR,
+    TokenBucket,
+    initial_tokens,
+    isolated_cap,
+    standby_cap,
 )
-from gypsum_sessions.daemons.asks import LeaveAnswer, LeaveQuestion
-from gypsum_sessions.daemons.homes import ANSWER_TIME, FORWARD_TIME, PART, Homes
+from gypsum_sessions.daemons.homes import ANSWER_TIMEOUT, FORWARD_TIMEOUT, PART, Homes
+from gypsum_sessions.daemons.peermessages import GrantRequest, GrantResponse
 
-# A stand-in that was not asked for this long starts anew, seconds: the home has counted
-# meanwhile.
+# A standby that was not asked for this long starts with a new bucket, seconds: the home
+# has granted operations meanwhile.
 STALE_AFTER = 1.0
-# Operations that one question asks for, at most.
-MOST_WANTED = 200
-# The shortest wait that a refusal tells, seconds: none would say that it may run.
-LEAST_WAIT = 0.001
+# Maximum number of operations in one request.
+MAX_BATCH = 200
+# Shortest wait that a refusal returns, seconds: 0 means that the operation may run.
+MIN_WAIT = 0.001
 
 
 @dataclass(slots=True, kw_only=True)
-class Tally:
-    """What became of a workspace's operations at this daemon."""
+class OutcomeCounts:
+    """Numbers of a workspace's operations granted and refused at this daemon."""
 
     granted: int = 0
     refused: int = 0
 
 
-class Usage:
-    """Asks leave for callers of this daemon, and grants it where this one counts."""
+class UsageLimiter:
+    """Requests grants for this daemon's callers, and grants operations as a home."""
 
     def __init__(self, *, daemons, peers, catalog, clock, log):
         self.daemons = daemons
@@ -50,88 +50,95 @@
             catalog=catalog,
             clock=clock,
             log=log,
-            returned=self.returned,
+            reconnected=self.reconnected,
         )
         # When this daemon may have become the home of any workspace.
-        self.known_since = clock()
+        self.candidate_since = clock()
         self.buckets = {}
-        # What this daemon grants by itself while it reaches no home.
-        self.lone = {}
-        self.waiting = {}
-        self.asking = {}
+        # Buckets of what this daemon grants while it reaches no home.
+        self.isolated_buckets = {}
+        self.waiters = {}
+        self.request_tasks = {}
         self.refused_until = {}
-        self.tallies = {}
+        self.outcomes = {}
 
-    def list_changed(self):
-        """The list of daemons is another one: so may be the homes."""
-        self.known_since = self.clock()
+    def daemons_changed(self):
+        """Record that the list of daemons changed, and with it perhaps the homes."""
+        self.candidate_since = self.clock()
 
-    def returned(self):
-        """This daemon has heard no other one for a while; somebody counted meanwhile.
+    def reconnected(self):
+        """Cap the tokens of all buckets after hearing no other daemon for a while.
 
-        What goes wrong without it: a home that was cut off, or stood still, comes back
-        with a full bucket beside what its stand-in has granted.
+        A standby may have granted operations meanwhile. Without this, a home that was
+        cut off or suspended comes back with a full bucket in addition to what its
+        standby has granted.
         """
-        now = self.known_since = self.clock()
+        now = self.candidate_since = self.clock()
         for bucket in self.buckets.values():
-            bucket.fill(now)
-            bucket.tokens = min(bucket.tokens, FIRST_GRANTS)
+            bucket.refill(now)
+            bucket.tokens = min(bucket.tokens, INITIAL_TOKENS)
 
     # For this daemon's callers
 
-    async def leave(self, workspace):
-        """Ask leave for one operation: 0 if it may run, else the seconds to wait."""
+    async def acquire(self, workspace):
+        """Request one operation; returns 0 if it may run, else the seconds to wait."""
         if self.catalog.cap(workspace) is None:
             return 0.0
         wait = self.refused_until.get(workspace, 0.0) - self.clock()
         if wait <= 0:
-            wait = await self.ask_with_others(workspace)
-        self.count_outcome(workspace, wait)
+            wait = await self.join_batch(workspace)
+        self.record_outcome(workspace, wait)
         return wait
 
-    async def ask_with_others(self, workspace):
-        """Wait for the answer to the next question about a workspace."""
+    async def join_batch(self, workspace):
+        """Wait for the answer to the next request for a workspace."""
         fut = asyncio.get_running_loop().create_future()
-        self.waiting.setdefault(workspace, []).append(fut)
-        if workspace not in self.asking:
-            task = asyncio.create_task(self.ask_for_all(workspace))
-            self.asking[workspace] = task
+        self.waiters.setdefault(workspace, []).append(fut)
+        if workspace not in self.request_tasks:
+            task = asyncio.create_task(self.request_batches(workspace))
+            self.request_tasks[workspace] = task
         return await fut
 
-    async def ask_for_all(self, workspace):
-        """Ask for all that wait, and again for those that came meanwhile."""
-        waiting = []
+    async def request_batches(self, workspace):
+        """Send requests for all waiting operations until none are left."""
+        waiters = []
         try:
-            while waiting := self.waiting.pop(workspace, []):
-                answer = await self.ask(workspace, min(len(waiting), MOST_WANTED))
-                self.tell(workspace, waiting, answer)
+            while waiters := self.waiters.pop(workspace, []):
+                answer = await self.request_grant(
+                    workspace, min(len(waiters), MAX_BATCH)
+                )
+                self.resolve(workspace, waiters, answer)
         finally:
-            # Should asking fail in a way that nobody thought of, nobody waits for ever.
-            del self.asking[workspace]
-            left = waiting + self.waiting.pop(workspace, [])
-            self.tell(workspace, left, LeaveAnswer(call=0, granted=0, wait=REFUSED_FOR))
-
-    def tell(self, workspace, waiting, answer):
-        """Let those run that have leave, and refuse the others."""
-        live = [fut for fut in waiting if not fut.done()]
+            # On an unexpected error too, no waiter is left pending.
+            del self.request_tasks[workspace]
+            left = waiters + self.waiters.pop(workspace, [])
+            self.resolve(
+                workspace,
+                left,
+                GrantResponse(call=0, granted=0, wait=REFUSAL_VALID_FOR),
+            )
+
+    def resolve(self, workspace, waiters, answer):
+        """Let the granted operations run, and refuse the others."""
+        live = [fut for fut in waiters if not fut.done()]
         for fut in live[: answer.granted]:
             fut.set_result(0.0)
         for fut in live[answer.granted :]:
-            fut.set_result(max(answer.wait, LEAST_WAIT))
-        if answer.granted < len(waiting):
-            pause = min(answer.wait, REFUSED_FOR)
+            fut.set_result(max(answer.wait, MIN_WAIT))
+        if answer.granted < len(waiters):
+            pause = min(answer.wait, REFUSAL_VALID_FOR)
             self.refused_until[workspace] = self.clock() + pause
 
-    def count_outcome(self, workspace, wait):
-        """Keep count, and log the first refusal and the first leave after one."""
-        tally = self.tallies.setdefault(workspace, Tally())
+    def record_outcome(self, workspace, wait):
+        """Count an outcome; log the first refusal, and the end of refusals."""
+        outcome = self.outcomes.setdefault(workspace, OutcomeCounts())
         if not wait:
-            tally.granted += 1
+            outcome.granted += 1
             if self.refused_until.pop(workspace, None) is not None:
                 self.log(PART, "let in again", workspace=workspace)
             return
-        tally.refused += 1
-        if tally.refused == 1:
+        outcome.refused += 1
+        if outcome.refused == 1:
             self.log(
                 PART,
                 "over its cap",
@@ -140,87 +147,97 @@
                 wait_ms=round(wait * 1000),
             )
 
-    # Questions to homes, and those of others
+    # Requests to homes, and requests of other daemons
 
-    async def ask(self, workspace, wanted, *, cap=None, forwarded=False):
-        """Ask the homes in turn; a LeaveAnswer, of our own count if we come next.
+    async def request_grant(self, workspace, wanted, *, cap=None, forwarded=False):
+        """Ask the homes in order; returns a GrantResponse.
 
-        `cap` is that of another daemon which asks us, `forwarded` that it did.
+        If this daemon is next in order, it grants the operations itself. `cap` and
+        `forwarded` are set for another daemon's request.
         """
-        cap = self.newer(workspace, cap)
+        cap = self.newer_cap(workspace, cap)
         if cap is None:
-            return LeaveAnswer(call=0, granted=wanted)
-        patience = FORWARD_TIME if forwarded else ANSWER_TIME
-        homes = self.homes.of(workspace)
-        for place, name in enumerate(homes):
+            return GrantResponse(call=0, granted=wanted)
+        timeout = FORWARD_TIMEOUT if forwarded else ANSWER_TIMEOUT
+        homes = self.homes.for_workspace(workspace)
+        for rank, name in enumerate(homes):
             if name == self.daemons.own.id:
-                if not forwarded and not await self.homes.in_touch(workspace):
+                if not forwarded and not await self.homes.is_connected(workspace):
                     break
-                return self.count(workspace, wanted, cap, place)
-            answer = await self.homes.ask(
+                return self.grant_as_home(workspace, wanted, cap, rank)
+            answer = await self.homes.request(
                 name,
-                lambda call: LeaveQuestion(
+                lambda call: GrantRequest(
                     call=call,
                     workspace=workspace,
                     wanted=wanted,
                     cap=cap,
                     forwarded=forwarded,
                 ),
-                patience=patience,
+                timeout=timeout,
             )
             if answer is not None:
                 return answer
         if forwarded:
-            return self.count(workspace, wanted, cap, len(homes))
-        return self.count_alone(workspace, wanted, cap)
+            return self.grant_as_home(workspace, wanted, cap, len(homes))
+        return self.grant_isolated(workspace, wanted, cap)
 
-    async def answer(self, question):
-        """Answer another daemon's question.
+    async def handle_request(self, request):
+        """Answer another daemon's request.
 
-        Whoever is not the home by its own list asks who is, unless it was asked as one
-        by a daemon that did so: two that disagree would ask each other for ever.
+        A daemon that is not the home by its own list asks the one that is, unless the
+        request was already forwarded to it: two daemons that disagree would otherwise
+        forward it to each other forever.
         """
-        self.homes.heard(self.clock())
-        if not question.wanted:
-            return LeaveAnswer(call=0, granted=0)
-        workspace, wanted = question.workspace, question.wanted
-        if question.forwarded:
-            cap = self.newer(workspace, question.cap)
-            return self.count(workspace, wanted, cap, self.homes.place(workspace))
-        return await self.ask(workspace, wanted, cap=question.cap, forwarded=True)
-
-    def newer(self, workspace, cap):
-        """The newer of another daemon's cap for a workspace and ours."""
+        self.homes.record_heard(self.clock())
+        if not request.wanted:
+            return GrantResponse(call=0, granted=0)
+        workspace, wanted = request.workspace, request.wanted
+        if request.forwarded:
+            cap = self.newer_cap(workspace, request.cap)
+            return self.grant_as_home(
+                workspace, wanted, cap, self.homes.rank(workspace)
+            )
+        return await self.request_grant(
+            workspace, wanted, cap=request.cap, forwarded=True
+        )
+
+    def newer_cap(self, workspace, cap):
+        """The newer of another daemon's cap for a workspace and this daemon's."""
         own = self.catalog.cap(workspace)
         if cap is None or (own is not None and own.version >= cap.version):
             return own
         return cap
 
-    # Counting
+    # Granting
 
-    def count(self, workspace, wanted, cap, place):
-        """Grant as home; with a `place` above 0 in the place of one that is away."""
+    def grant_as_home(self, workspace, wanted, cap, rank):
+        """Grant as home; with a `rank` above 0 as standby for an unreachable home."""
         now = self.clock()
-        if place:
-            cap = stand_in_cap(cap)
+        if rank:
+            cap = standby_cap(cap)
         bucket = self.buckets.get(workspace)
-        if bucket is None or (place and now - bucket.at > STALE_AFTER):
-            known_for = 0.0 if place else now - self.known_since
-            tokens = first_tokens(cap, known_for)
-            bucket = self.buckets[workspace] = Bucket(cap=cap, now=now, tokens=tokens)
+        if bucket is None or (rank and now - bucket.refilled_at > STALE_AFTER):
+            known_for = 0.0 if rank else now - self.candidate_since
+            tokens = initial_tokens(cap, known_for)
+            bucket = self.buckets[workspace] = TokenBucket(
+                cap=cap, now=now, tokens=tokens
+            )
         return grant(bucket, cap, wanted, now)
 
-    def count_alone(self, workspace, wanted, cap):
-        """Grant what a daemon may that reaches no home."""
-        now, part = self.clock(), lone_cap(cap, len(self.daemons.known))
-        bucket = self.lone.get(workspace)
+    def grant_isolated(self, workspace, wanted, cap):
+        """Grant the share of a daemon that reaches no home."""
+        now, part = self.clock(), isolated_cap(cap, len(self.daemons.known))
+        bucket = self.isolated_buckets.get(workspace)
         if bucket is None:
-            bucket = self.lone[workspace] = Bucket(cap=part, now=now, tokens=0.0)
+            bucket = self.isolated_buckets[workspace] = TokenBucket(
+                cap=part, now=now, tokens=0.0
+            )
         return grant(bucket, part, wanted, now)
 
 
 def grant(bucket, cap, wanted, now):
-    """What a bucket grants by a cap, as an answer."""
-    bucket.change(cap, now)
+    """Take operations from a bucket under a cap; returns a GrantResponse."""
+    bucket.set_cap(cap, now)
     granted = bucket.take(wanted, now)
-    return LeaveAnswer(call=0, granted=granted, wait=bucket.wait())
+    return GrantResponse(call=0, granted=granted, wait=bucket.seconds_to_next())
--- a/packages/sessions/gypsum_sessions/execution/writes.py
+++ b/packages/sessions/gypsum_sessions/execution/writes.py
@@ -2,51 +2,55 @@
 
 import asyncio
 
-from gypsum_policy.admission import Hopeless
-from gypsum_sessions.execution.confirm import can_confirm, is_safe
-from gypsum_sessions.execution.reads import no_leader, overloaded, withdrawn
+from gypsum_policy.admission import QueueTimeout
+from gypsum_sessions.execution.confirm import can_confirm, is_confirmed
+from gypsum_sessions.execution.reads import (
+    key_withdrawn_reply,
+    no_leader_reply,
+    overloaded_reply,
+)
 from gypsum_sessions.replies import (
     NOT_RUN,
     Refusal,
     Reply,
     UpstreamError,
     UpstreamLost,
-    UpstreamSilent,
+    UpstreamTimeout,
 )
 from gypsum_sessions.statements import ROLLBACK
-from gypsum_sessions.upstreams.pooled import bring_level
+from gypsum_sessions.upstreams.pooled import sync_session_state
 
 PART = "write"
-# Pause after a refusal by the leader, seconds: its queue is full or it steps down.
+# Seconds before a retry if the leader refused: its queue is full or it steps down.
 REFUSED_PAUSE = 0.03
 
 
 class NotSent(Exception):
-    """The statement was not sent; another try is safe."""
+    """The statement was not sent, so it is safe to retry."""
 
 
 async def run_write(group, job):
-    """Run a write; it is tried again only while it provably has not run."""
-    around, clock = group.around, group.around.clock
-    wait_until = clock() + job.left(clock) * around.tuning.leader_wait_share
+    """Run a write; it is retried only while it provably has not run."""
+    context, clock = group.context, group.context.clock
+    wait_until = clock() + job.time_left(clock) * context.tuning.leader_wait_share
     last = None
     while clock() < wait_until:
         item = await group.wait_writable(wait_until - clock())
         if item is None:
             break
-        patience = wait_until - clock()
-        if not await can_confirm(group, item.id, patience=patience):
-            return unconfirmable(around.tuning)
+        timeout = wait_until - clock()
+        if not await can_confirm(group, item.id, timeout=timeout):
+            return cannot_confirm_reply(context.tuning)
         job.tried.append(item.id)
         try:
-            async with item.turns.enter(job.claim()):
-                if not around.catalog.stands(job.credential):
-                    return withdrawn()
+            async with item.admission.enqueue(job.admission_request()):
+                if not context.catalog.is_valid(job.credential):
+                    return key_withdrawn_reply()
                 reply = await try_write(group, job, item)
-        except Hopeless as exc:
-            return overloaded(job, exc.wait)
+        except QueueTimeout as exc:
+            return overloaded_reply(job, exc.wait)
         except NotSent as exc:
-            around.log(PART, "not sent", request=job.request, error=str(exc))
+            context.log(PART, "not sent", request=job.request, error=str(exc))
             await asyncio.sleep(REFUSED_PAUSE)
             continue
         if reply.refusal not in NOT_RUN or reply.refusal is Refusal.MALFORMED:
@@ -54,47 +58,49 @@
             return reply
         last = reply
         if reply.refusal is Refusal.BUSY:
-            item.turns.queue.turned_away(clock())
+            item.admission.queue.record_rejection(clock())
         else:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
         await asyncio.sleep(REFUSED_PAUSE)
     if last is None:
-        return no_leader(around.tuning)
+        return no_leader_reply(context.tuning)
     return Reply(
         refusal=Refusal.BUSY,
         detail=f"not run, {last.refusal}",
-        retry_after_ms=around.tuning.busy_retry_after_ms,
+        retry_after_ms=context.tuning.busy_retry_after_ms,
     )
 
 
 async def try_write(group, job, item):
-    """One try at the leader; raises NotSent if the write did not leave us."""
-    around, clock = group.around, group.around.clock
-    pooled = await take_live(group, item, job)
+    """One attempt at the leader; raises NotSent if the write was not sent."""
+    context, clock = group.context, group.context.clock
+    pooled = await acquire_verified(group, item, job)
     try:
         try:
-            await level(group, job, pooled)
+            await sync_session(group, job, pooled)
         except UpstreamError as exc:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
             raise NotSent(str(exc)) from exc
         asked_at = clock()
-        number = group.stall.begin(asked_at)
+        stall_id = group.stall.begin(asked_at)
         try:
             reply = await pooled.conn.ask(
-                job.statement, timeout=job.left(clock), request=job.request
+                job.statement, timeout=job.time_left(clock), request=job.request
             )
         except UpstreamError as exc:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
             return lost_write(group, job, item, exc)
-        group.stall.end(number, clock())
+        group.stall.end(stall_id, clock())
         if reply.ok:
-            item.answered(clock() - asked_at, reply.position, clock(), around.tuning)
-            if not await is_safe(
-                group, reply.position, item.id, patience=job.left(clock)
+            item.record_answer(
+                clock() - asked_at, reply.position, clock(), context.tuning
+            )
+            if not await is_confirmed(
+                group, reply.position, item.id, timeout=job.time_left(clock)
             ):
-                return unconfirmed()
+                return unconfirmed_reply()
             if reply.position is not None:
-                group.floors.learn(reply.position, asked_at)
+                group.floors.add(reply.position, asked_at)
         if reply.refusal is Refusal.UNKNOWN_NAME:
             pooled.dirty = True
         return reply
@@ -102,7 +108,7 @@
         item.pool.release(pooled)
 
 
-def unconfirmable(tuning):
+def cannot_confirm_reply(tuning):
     """The refusal of a write whose commit no replica could confirm."""
     return Reply(
         refusal=Refusal.BUSY,
@@ -111,30 +117,30 @@
     )
 
 
-def unconfirmed():
-    """The reply for a commit that a takeover might not find."""
+def unconfirmed_reply():
+    """The reply for a commit that a takeover might lose."""
     return Reply(
         refusal=Refusal.IN_DOUBT, detail="may have run, no known replica has it"
     )
 
 
 def lost_write(group, job, item, exc):
-    """The reply for a write that was sent and not answered."""
+    """The reply for a write that got no answer; raises NotSent if it was not sent."""
     if isinstance(exc, UpstreamLost) and not exc.sent:
         raise NotSent(str(exc)) from exc
-    item.failed(exc, group.around.clock(), group.around.tuning)
-    silent = isinstance(exc, UpstreamSilent)
-    group.around.log(
+    item.record_failure(exc, group.context.clock(), group.context.tuning)
+    silent = isinstance(exc, UpstreamTimeout)
+    group.context.log(
         PART, "in doubt", request=job.request, upstream=item.id, error=str(exc)
     )
     detail = "no answer in time" if silent else "the connection broke"
     return Reply(refusal=Refusal.IN_DOUBT, detail=f"may have run, {detail}")
 
 
-async def level(group, job, pooled):
-    """Bring a connection to the session's values."""
-    tuning = group.around.tuning
-    await bring_level(
+async def sync_session(group, job, pooled):
+    """Set a connection's values and prepared statements to the session's."""
+    tuning = group.context.tuning
+    await sync_session_state(
         pooled,
         job.values,
         job.prepared,
@@ -143,27 +149,27 @@
     )
 
 
-async def take_live(group, item, job):
-    """A connection that has just answered; raises NotSent.
+async def acquire_verified(group, item, job):
+    """A connection that has just answered a round trip; raises NotSent.
 
-    What goes wrong without the trial: something between us and the upstream has
-    forgotten the connection, the write on it gets no answer, and its outcome is
-    unknown although it never arrived. It takes a round trip, 2 ms, and no slot.
+    Without that check, a write could be sent on a connection that a middlebox has
+    dropped: it would get no answer and its outcome would be unknown, although it never
+    arrived. The check takes a round trip, 2 ms, and no slot.
     """
-    tuning = group.around.tuning
+    tuning = group.context.tuning
     while True:
         try:
             pooled = await item.pool.acquire(
                 values=job.values,
-                timeout=job.left(group.around.clock),
+                timeout=job.time_left(group.context.clock),
                 workspace=job.workspace,
             )
         except UpstreamError as exc:
-            group.watch.doubt(item.id)
+            group.watch.recheck(item.id)
             raise NotSent(str(exc)) from exc
         try:
             await pooled.conn.ask(ROLLBACK, timeout=tuning.ping_timeout)
             return pooled
         except UpstreamError as exc:
             item.pool.release(pooled)
-            group.around.log(PART, "dead connection", upstream=item.id, error=str(exc))
+            group.context.log(PART, "dead connection", upstream=item.id, error=str(exc))
--- a/packages/sessions/gypsum_sessions/measures.py
+++ b/packages/sessions/gypsum_sessions/metrics.py
@@ -1,22 +1,22 @@
-"""Metrics of statement sessions: a histogram for each database and kind."""
+"""Prometheus metrics of statement sessions."""
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
 
 from gypsum_policy.revisions import era_of, number_of
-from gypsum_sessions.daemons.usage import Tally
+from gypsum_sessions.daemons.usage import OutcomeCounts
 
-# Workspaces with series of their own; all further ones share one. What goes wrong
-# without a bound: a scrape of thousands of histograms holds up the statements.
-MOST_WORKSPACES = 100
-OTHERS = "others"
-SECONDS = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0]
+# Number of workspaces with series of their own; all others share one. A scrape of
+# thousands of histograms would delay the statements.
+MAX_NAMED_WORKSPACES = 100
+OTHER_WORKSPACES = "others"
+LATENCY_BUCKETS = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0]
 
 
 class SessionMetrics:
-    """All metrics of one daemon's sessions, in a registry of its own.
+    """Metrics of one daemon's sessions, in a registry of its own.
 
-    Labels come from the configuration, which bounds their number.
+    Labels come from the configuration, which limits their number.
     """
 
     def __init__(self):
@@ -24,7 +24,7 @@
         self.seconds = Histogram(
             "gypsum_statement_seconds",
             "Time to answer a statement, by database, read rule and statement.",
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
         self.refusals = Counter(
@@ -38,11 +38,11 @@
             registry=self.registry,
         )
         # Workspaces with series of their own.
-        self.named = set()
+        self.named_workspaces = set()
         self.by_workspace = Histogram(
             "gypsum_workspace_seconds",
             "Time to answer a statement, by workspace, read rule and outcome.",
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
         self.usage = Gauge(
@@ -70,7 +70,7 @@
             "Era of the store's history; it rises when the store returns from a copy.",
             registry=self.registry,
         )
-        self.drain_ended = Counter(
+        self.drain_rollbacks = Counter(
             "gypsum_drain_ended_transactions_total",
             "Transactions that were rolled back because this daemon was told to stop.",
             registry=self.registry,
@@ -82,7 +82,7 @@
         )
 
     def observe(self, route, statement, reply, seconds, served_by, workspace=""):
-        """Count one statement; `served_by` is empty if the proxy answered itself."""
+        """Record one statement; `served_by` is empty if the proxy answered itself."""
         self.observe_workspace(route, reply, seconds, workspace)
         labels = {"database": route.database, "rule": str(route.rule)}
         if not reply.ok:
@@ -93,61 +93,63 @@
             self.reads.inc({**labels, "by": str(served_by)})
 
     def observe_workspace(self, route, reply, seconds, workspace):
-        """Count one statement of a workspace, where callers show keys."""
+        """Record one statement of a workspace; a caller without a key has none."""
         if not workspace:
             return
-        if len(self.named) < MOST_WORKSPACES:
-            self.named.add(workspace)
-        name = workspace if workspace in self.named else OTHERS
+        if len(self.named_workspaces) < MAX_NAMED_WORKSPACES:
+            self.named_workspaces.add(workspace)
+        name = workspace if workspace in self.named_workspaces else OTHER_WORKSPACES
         outcome = str(reply.refusal or "ok")
         labels = {"workspace": name, "rule": str(route.rule), "outcome": outcome}
         self.by_workspace.observe(labels, seconds)
 
-    def take(self, proxy, dropped_lines):
-        """Refresh the gauges."""
+    def collect(self, proxy, dropped_lines):
+        """Update the gauges from the proxy's state."""
         self.state.set({"what": "open"}, len(proxy.sessions))
         self.state.set({"what": "configuration"}, proxy.catalog.version)
         self.state.set({"what": "lines_dropped"}, dropped_lines)
-        self.drain_ended.set({}, proxy.drain_ended)
-        self.take_usage(proxy.usage)
-        for name, feed in proxy.following.feeds.items():
+        self.drain_rollbacks.set({}, proxy.drain_rollbacks)
+        self.collect_usage(proxy.usage)
+        for name, feed in proxy.feed_follower.feeds.items():
             vouched = number_of(feed.state.revision) if feed.state else -1
             self.feeds.set({"feed": name, "what": "era"}, era_of(feed.known))
             self.feeds.set({"feed": name, "what": "known"}, number_of(feed.known))
             self.feeds.set({"feed": name, "what": "vouched"}, vouched)
             self.feeds.set({"feed": name, "what": "behind"}, int(feed.behind))
-            self.feeds.set({"feed": name, "what": "store_lost"}, int(feed.lost))
+            self.feeds.set(
+                {"feed": name, "what": "store_lost"}, int(feed.store_unreachable)
+            )
         for group in proxy.groups.values():
             for item in group.upstreams.values():
                 labels = {"group": group.name, "upstream": item.id}
-                self.upstreams.set({**labels, "what": "open"}, item.pool.opened)
+                self.upstreams.set({**labels, "what": "open"}, item.pool.open_count)
                 self.upstreams.set({**labels, "what": "in_use"}, item.pool.in_use)
                 self.upstreams.set({**labels, "what": "dials"}, item.pool.dials)
                 displaced = item.pool.displaced
                 self.upstreams.set({**labels, "what": "displaced"}, displaced)
-                self.upstreams.set({**labels, "what": "mean_seconds"}, item.mean)
+                self.upstreams.set({**labels, "what": "mean_seconds"}, item.mean_time)
 
-    def take_usage(self, usage):
-        """Refresh what became of the operations of workspaces that have a cap."""
+    def collect_usage(self, usage):
+        """Update the operations granted and refused to workspaces that have a cap."""
         totals = {}
-        for workspace, tally in usage.tallies.items():
-            name = workspace if workspace in self.named else OTHERS
-            total = totals.setdefault(name, Tally())
-            total.granted += tally.granted
-            total.refused += tally.refused
+        for workspace, outcome in usage.outcomes.items():
+            name = workspace if workspace in self.named_workspaces else OTHER_WORKSPACES
+            total = totals.setdefault(name, OutcomeCounts())
+            total.granted += outcome.granted
+            total.refused += outcome.refused
         for name, total in totals.items():
             self.usage.set({"workspace": name, "what": "granted"}, total.granted)
             self.usage.set({"workspace": name, "what": "refused"}, total.refused)
 
-    def take_era(self, era):
-        """Refresh the era of the store's history."""
+    def set_store_era(self, era):
+        """Update the era of the store's history."""
         self.store_era.set({}, era)
 
-    def take_calls(self, calls):
-        """Refresh the calls to the store: numbers by step and kind."""
+    def set_store_calls(self, calls):
+        """Update the calls to the store; `calls` has their number by (step, kind)."""
         for (step, kind), number in calls.items():
             self.store_calls.set({"step": step, "kind": kind}, number)
 
     def render(self, accepts):
-        """The metrics in Prometheus' text form: (body, headers)."""
+        """Return the metrics in the Prometheus text format: (body, headers)."""
         return render(self.registry, accepts)
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -1,6 +1,7 @@
-"""Random callers and random faults over one group, checked from the callers' side.
+"""Random callers and random faults over one group.
 
-Every promise is checked on what callers were told and what the fake upstreams ran.
+Every promise is checked against the replies that callers received and the statements
+that the fake upstreams ran.
 """
 
 import asyncio
@@ -13,21 +14,21 @@
 from tests.sessions.vclock import run
 
 RUN_SECONDS = 14.0
-CALM_SECONDS = 14.0
-PROMISES = {Refusal.BUSY, Refusal.ABORTED, Refusal.LAGGING, Refusal.READ_ONLY}
+RECOVERY_SECONDS = 14.0
+NOT_KEPT_REFUSALS = {Refusal.BUSY, Refusal.ABORTED, Refusal.LAGGING, Refusal.READ_ONLY}
 
 
-class Watch(GuaranteeChecker):
-    """Takes in what the upstreams of a rig ran."""
+class Checker(GuaranteeChecker):
+    """Checks the statements that the upstreams of a rig ran."""
 
     def __init__(self, *, rig):
         super().__init__()
         self.rig = rig
-        # The workspace of each caller that showed a key.
+        # Workspace by caller number, empty for a caller without a key.
         self.workspaces = {}
 
     def statement_ran(self, conn, request):
-        """An upstream ran a caller's statement."""
+        """Check a statement that an upstream ran for a caller."""
         own = self.workspaces.get(int(request.split("-")[0]), "")
         if conn.workspace != own and own:
             self.broken.append(f"UNASKED {request} as {conn.workspace!r}, not {own!r}")
@@ -40,91 +41,93 @@
         )
 
     def read_ran(self, member, request):
-        """An upstream ran a read: what does its log lack?"""
+        """Check a read that an upstream ran for acknowledged data that it lacks."""
         log = member.log[: member.applied]
         shown = {data for entry in log for _, data in entry.writes}
         acked = {data for item in self.acked for data in item.data}
         super().read_ran(request, member.id, acked - shown)
 
     def finish(self):
-        """Check what is only known at the end."""
+        """Check what can only be checked after the run."""
         kept = [data for entry in self.rig.group.leader.log for _, data in entry.writes]
         orders = [(token, holder) for _, holder, token in self.rig.promoter.orders]
         super().finish(kept, orders)
 
 
-async def live(rig, watch, rng, place, until):
-    """One caller of the daemon at a place: statements and transactions until a time."""
+async def run_caller(rig, checker, rng, index, until):
+    """Run callers of one daemon, one after the other, until a time."""
     loop = rig.loop
     while loop.time() < until:
-        proxy = rig.proxies[place]
+        proxy = rig.proxies[index]
         database = rng.choice(["primary", "bounded", "own"])
         workspace = rng.choice(sorted(rig.keys)) if rig.keys else ""
         caller = rig.caller(database, proxy, f"key-{workspace}")
         if caller.session is None:
             await asyncio.sleep(0.1)
             continue
-        watch.values[caller.number] = {}
-        watch.workspaces[caller.number] = workspace
+        checker.values[caller.number] = {}
+        checker.workspaces[caller.number] = workspace
         for _ in range(rng.randint(1, 6)):
-            await operate(rig, watch, rng, caller)
+            await run_operation(rig, checker, rng, caller)
             await asyncio.sleep(rng.random() * 0.3)
         await proxy.close_session(caller.session)
 
 
-async def operate(rig, watch, rng, caller):
-    """One operation of a caller."""
+async def run_operation(rig, checker, rng, caller):
+    """Run one random operation of a caller."""
     kind = rng.choices(["read", "write", "tx", "set", "prepared"], [8, 4, 4, 1, 2])[0]
     if kind == "set":
         name, value = rng.choice("abc"), str(rng.randint(0, 2))
         if (await caller.send(f"SET {name} {value}")).ok:
-            watch.values[caller.number][name] = value
+            checker.values[caller.number][name] = value
     elif kind == "read":
-        await read(rig, watch, caller, "READ item")
+        await read(rig, checker, caller, "READ item")
     elif kind == "prepared":
         await caller.send("PREPARE s READ q")
-        await read(rig, watch, caller, "EXECUTE s item")
+        await read(rig, checker, caller, "EXECUTE s item")
     elif kind == "write":
-        await write(rig, watch, caller)
+        await write(rig, checker, caller)
     else:
-        await transaction(rig, watch, rng, caller)
+        await transaction(rig, checker, rng, caller)
 
 
-async def read(rig, watch, caller, text):
-    """A single read."""
-    watch.reads[caller.next_request] = SentRead(
+async def read(rig, checker, caller, text):
+    """Run a single read."""
+    checker.reads[caller.next_request] = SentRead(
         at=rig.loop.clock(), session=caller.number, rule=caller.session.route.rule
     )
     await caller.send(text)
 
 
-async def write(rig, watch, caller):
-    """A single write of data that nobody else writes."""
+async def write(rig, checker, caller):
+    """Run a single write of data that nobody else writes."""
     data = caller.next_request
     reply = await caller.send(f"WRITE {data} {data}")
     if reply.ok:
-        watch.acked.append(
+        checker.acked.append(
             AckedWrite(data=(data,), at=rig.loop.clock(), session=caller.number)
         )
-    elif reply.refusal in PROMISES:
-        watch.refused_writes.append(data)
+    elif reply.refusal in NOT_KEPT_REFUSALS:
+        checker.refused_writes.append(data)
 
 
-async def transaction(rig, watch, rng, caller):
-    """A transaction of some statements, with pauses."""
+async def transaction(rig, checker, rng, caller):
+    """Run a transaction of up to four statements with pauses."""
     writing = rng.random() < 0.6
     began = rig.loop.clock()
     await caller.send("BEGIN" if writing else "BEGIN READ")
     wrote, reply = [], None
     for _ in range(rng.randint(0, 4)):
         request = caller.next_request
-        watch.transactions[request] = caller.number
+        checker.transactions[request] = caller.number
         if writing and rng.random() < 0.6:
             wrote.append(request)
             reply = await caller.send(f"WRITE {request} {request}")
         else:
             rule = caller.session.route.rule
-            watch.reads[request] = SentRead(at=began, session=caller.number, rule=rule)
+            checker.reads[request] = SentRead(
+                at=began, session=caller.number, rule=rule
+            )
             reply = await caller.send("READ item")
         if not reply.ok:
             break
@@ -132,198 +135,198 @@
     failed = reply is not None and not reply.ok
     if failed or rng.random() < 0.2:
         await caller.send("ROLLBACK")
-        watch.refused_writes += wrote
+        checker.refused_writes += wrote
         return
-    watch.transactions[caller.next_request] = caller.number
+    checker.transactions[caller.next_request] = caller.number
     reply = await caller.send("COMMIT")
     if reply.ok and wrote:
-        watch.acked.append(
+        checker.acked.append(
             AckedWrite(
                 data=tuple(wrote),
                 at=rig.loop.clock(),
                 session=caller.number,
             )
         )
-    elif reply.refusal in PROMISES:
-        watch.refused_writes += wrote
+    elif reply.refusal in NOT_KEPT_REFUSALS:
+        checker.refused_writes += wrote
 
 
-# What may happen. Seeds that showed a fault rest on the order of these.
-TROUBLES = (
-    "dark",
+# Names of FaultInjector methods. The seeds in test_chaos.py depend on their order.
+BASIC_FAULTS = (
+    "unresponsive",
     "crash",
-    "primary_cut",
-    "deaf",
+    "partition_primary",
+    "replication_cut",
     "lagging",
-    "daemon_cut",
-    "silent",
-    "lost_answers",
-    "late_orders",
+    "cut_daemon_path",
+    "silence_connections",
+    "lose_answers",
+    "delay_promotion",
     "store_down",
-    "lost_lease",
+    "lose_lease_answer",
     "join",
-    "cut_and_join",
-    "cut_and_crash",
+    "partition_primary_and_join",
+    "crash_primary_with_stale_replica",
     "late_pause",
     "suspend",
 )
-# ... and with gaps in the list, new processes, full and leaving members as well.
-MORE_TROUBLES = (
-    *TROUBLES,
-    "lapse",
+# Also an incomplete list, restarted daemons, and full or leaving members.
+EXTENDED_FAULTS = (
+    *BASIC_FAULTS,
+    "unlist_members",
     "restart_daemon",
-    "lapse_and_restart_all",
-    "at_limit",
-    "leave",
+    "unlist_and_restart_all",
+    "exhaust_connections",
+    "remove_member",
 )
-# ... and with owners and daemons that ask them, whose links fail.
-OWNER_TROUBLES = (
-    *MORE_TROUBLES,
+# Also failing links between owners and the daemons that forward to them.
+OWNER_FAULTS = (
+    *EXTENDED_FAULTS,
     "freeze_daemon",
     "cut_links",
     "kill_daemon",
     "drain_daemon",
-    "late_orders",
-    "leave",
+    "delay_promotion",
+    "remove_member",
 )
 
 
-# ... and with callers that show keys, one of which comes and goes.
-KEY_TROUBLES = (*OWNER_TROUBLES, "withdraw", "withdraw")
+# Also callers with keys, one of which is withdrawn and restored.
+KEY_FAULTS = (*OWNER_FAULTS, "withdraw_key", "withdraw_key")
 LASTING_KEY = "key-north"
 KEYS = {"north": ["key-north"], "south": ["key-south"], "east": ["key-east"]}
 
 
-class Faults:
-    """Random troubles, each mended after a while."""
+class FaultInjector:
+    """Injects random faults and undoes each after a while."""
 
-    def __init__(self, *, rig, rng, troubles):
+    def __init__(self, *, rig, rng, faults):
         self.rig = rig
-        self.troubles = troubles
+        self.faults = faults
         self.rng = rng
         self.joined = 0
 
     async def run(self, until):
-        """One trouble after the other, overlapping."""
+        """Start faults at random intervals until a time; they may overlap."""
         while self.rig.loop.time() < until:
-            trouble = getattr(self, self.rng.choice(self.troubles))
-            asyncio.ensure_future(self.mended(trouble))
+            fault = getattr(self, self.rng.choice(self.faults))
+            asyncio.ensure_future(self.inject(fault))
             await asyncio.sleep(self.rng.random() * 2.5)
 
-    async def mended(self, trouble):
-        """A trouble and its end."""
-        mend = trouble()
-        if mend is None:
+    async def inject(self, fault):
+        """Inject a fault, and undo it later if it lasts."""
+        undo = fault()
+        if undo is None:
             return
         await asyncio.sleep(0.3 + self.rng.random() * 4)
-        mend()
+        undo()
 
-    def member(self):
-        """Any member."""
+    def any_member(self):
+        """Return a random member."""
         return self.rng.choice(self.rig.group.members)
 
     def leader(self):
-        """The leader, or any member if nobody leads."""
-        return self.rig.group.leader or self.member()
+        """Return the leader, or a random member if there is none."""
+        return self.rig.group.leader or self.any_member()
 
-    def any_or_leader(self):
-        """The leader half of the time."""
-        return self.leader() if self.rng.random() < 0.5 else self.member()
+    def any_member_or_leader(self):
+        """Return the leader half of the time, else a random member."""
+        return self.leader() if self.rng.random() < 0.5 else self.any_member()
 
-    def dark(self):
+    def unresponsive(self):
         """A member answers nothing for a while."""
-        member = self.any_or_leader()
-        member.dark = True
-        return lambda: setattr(member, "dark", False)
+        member = self.any_member_or_leader()
+        member.unresponsive = True
+        return lambda: setattr(member, "unresponsive", False)
 
     def crash(self):
-        """A member crashes and comes back with its log."""
-        member = self.any_or_leader()
+        """A member crashes and restarts later with its log."""
+        member = self.any_member_or_leader()
         if member.dead:
             return None
         member.crash()
         return member.restart
 
-    def primary_cut(self):
-        """The primary loses replicas, and perhaps some daemons."""
+    def partition_primary(self):
+        """The primary is cut off from all replicas, and perhaps from a daemon."""
         leader = self.leader()
         leader.cut_from.update(m.id for m in self.rig.group.members if m is not leader)
         if self.rng.random() < 0.5:
             self.rig.cut(self.rng.choice(self.rig.proxies), leader.id)
 
-        def mend():
+        def undo():
             leader.cut_from.clear()
-            self.mend_cuts()
+            self.restore_paths()
 
-        return mend
+        return undo
 
-    def deaf(self):
-        """A replica receives nothing."""
-        member = self.member()
-        member.deaf = True
-        return lambda: setattr(member, "deaf", False)
+    def replication_cut(self):
+        """A replica receives no log for a while."""
+        member = self.any_member()
+        member.not_receiving = True
+        return lambda: setattr(member, "not_receiving", False)
 
     def lagging(self):
-        """A replica applies late."""
-        member = self.member()
+        """A replica applies its log one second late."""
+        member = self.any_member()
         member.lag = 1.0
         return lambda: setattr(member, "lag", 0.008)
 
-    def daemon_cut(self):
-        """A daemon loses its path to a member."""
-        self.rig.cut(self.rng.choice(self.rig.proxies), self.member().id)
-        return self.mend_cuts
+    def cut_daemon_path(self):
+        """A daemon's path to a member is cut."""
+        self.rig.cut(self.rng.choice(self.rig.proxies), self.any_member().id)
+        return self.restore_paths
 
-    def mend_cuts(self):
-        """All paths are there again; connections that went silent stay so."""
+    def restore_paths(self):
+        """Restore all paths; connections that have gone silent stay silent."""
         for proxy in self.rig.proxies:
-            proxy.around.dialer.dialer.cut.clear()
+            proxy.context.dialer.dialer.cut.clear()
 
-    def silent(self):
-        """Open connections to a member go silent for good."""
-        for conn in list(self.member().conns):
+    def silence_connections(self):
+        """Half of the open connections to a member give no more answers."""
+        for conn in list(self.any_member().conns):
             if self.rng.random() < 0.5:
                 conn.silent = True
 
-    def lost_answers(self):
-        """The next answers of a member are lost."""
-        self.any_or_leader().lose_answers = self.rng.randint(1, 3)
+    def lose_answers(self):
+        """The next one to three answers of a member are lost."""
+        self.any_member_or_leader().lose_answers = self.rng.randint(1, 3)
 
-    def late_orders(self):
-        """The next order to promote is carried out late and not answered."""
-        self.rig.promoter.late.append(1.0 + self.rng.random() * 6)
+    def delay_promotion(self):
+        """The next promotion order takes effect late and is not answered."""
+        self.rig.promoter.delayed_orders.append(1.0 + self.rng.random() * 6)
 
     def store_down(self):
-        """The leases can't be read or taken."""
+        """The leases can't be read or acquired for a while."""
         self.rig.leases.down = True
         return lambda: setattr(self.rig.leases, "down", False)
 
-    def lost_lease(self):
-        """The next take of the lease is done and not answered."""
-        self.rig.leases.lose += 1
+    def lose_lease_answer(self):
+        """The next acquisition of the lease succeeds without an answer."""
+        self.rig.leases.lose_answers += 1
 
-    def cut_and_join(self):
-        """The primary loses replicas and a daemon; a new member comes just then."""
-        mend = self.primary_cut()
+    def partition_primary_and_join(self):
+        """The primary is cut off, and a new member joins during the takeover."""
+        undo = self.partition_primary()
         loop = asyncio.get_running_loop()
         loop.call_later(0.7 + self.rng.random() * 1.5, self.join)
-        return mend
+        return undo
 
-    def cut_and_crash(self):
-        """The primary dies while one replica is behind and the other out of reach."""
+    def crash_primary_with_stale_replica(self):
+        """The primary is lost while one replica is behind and another unreachable."""
         behind, away = self.rng.sample(self.rig.group.replicas(), 2)
-        behind.deaf = True
+        behind.not_receiving = True
         loop, leader = asyncio.get_running_loop(), self.leader()
-        loop.call_later(0.5, setattr, away, "dark", True)
-        loop.call_later(0.6, setattr, leader, "dark", True)
+        loop.call_later(0.5, setattr, away, "unresponsive", True)
+        loop.call_later(0.6, setattr, leader, "unresponsive", True)
 
-        def mend():
-            behind.deaf = away.dark = leader.dark = False
+        def undo():
+            behind.not_receiving = away.unresponsive = leader.unresponsive = False
 
-        return mend
+        return undo
 
     def join(self):
-        """A new member joins, listed a moment later."""
+        """A new member joins; it is listed shortly after. At most two join."""
         if self.joined >= 2:
             return
         self.joined += 1
@@ -331,68 +334,68 @@
         group.members.append(FakeMember(id=f"u{len(group.members) + 1}", group=group))
 
     def late_pause(self):
-        """An order to pause of long ago is carried out."""
+        """An old order to pause replication takes effect."""
         for replica in self.rig.group.replicas():
             replica.paused = self.rig.group.term + 1
 
-    def lapse(self):
-        """Some entries are off the list for a moment, though their members live."""
+    def unlist_members(self):
+        """All entries but one vanish for 1.5 s although their members are alive."""
         members = self.rig.group.members
         away = {item.id for item in self.rng.sample(members, len(members) - 1)}
         self.rig.group.unlisted |= away
-        asyncio.get_running_loop().call_later(1.5, self.relist, away)
+        asyncio.get_running_loop().call_later(1.5, self.relist_members, away)
 
-    def relist(self, away):
-        """The entries are back, as new ones."""
+    def relist_members(self, away):
+        """The entries return with new revisions."""
         for name in away:
             self.rig.group[name].joined = self.rig.group.next_revision()
         self.rig.group.unlisted -= away
 
     def restart_daemon(self):
-        """A daemon is killed and starts anew with what the store has."""
-        self.restart(self.rng.randrange(len(self.rig.proxies)))
+        """A daemon is killed and restarts with the data of the store."""
+        self.restart_process(self.rng.randrange(len(self.rig.proxies)))
 
-    def lapse_and_restart_all(self):
-        """All daemons start anew while the list has gaps."""
-        self.lapse()
-        for place in range(len(self.rig.proxies)):
-            self.restart(place)
+    def unlist_and_restart_all(self):
+        """All daemons restart while the list is incomplete."""
+        self.unlist_members()
+        for index in range(len(self.rig.proxies)):
+            self.restart_process(index)
 
-    def restart(self, place):
-        """Put a new process at a daemon's place."""
+    def restart_process(self, index):
+        """Replace a daemon by a new process, unless the store is down."""
         if self.rig.leases.down:
             return
-        old = self.rig.proxies[place]
+        old = self.rig.proxies[index]
         old.stop()
         self.rig.links.reset(old.name)
         names = [proxy.name for proxy in self.rig.proxies]
         proxy = self.rig.make_proxy(old.name, names, old.tuning, self.rig.version)
-        proxy.board.seen.clear()
+        proxy.lease_view.seen.clear()
         if self.rig.leases.lease.token:
-            proxy.board.note_first("db", self.rig.leases.lease)
+            proxy.lease_view.record_initial("db", self.rig.leases.lease)
         proxy.recorder.recorded.clear()
         if "db" in self.rig.records.saved:
-            proxy.recall("db", self.rig.records.saved["db"])
-        self.rig.proxies[place] = proxy
-        tend(proxy)
+            proxy.add_recorded_members("db", self.rig.records.saved["db"])
+        self.rig.proxies[index] = proxy
+        start_maintenance(proxy)
 
-    def at_limit(self):
-        """A member takes no further connection for a while."""
-        member = self.any_or_leader()
+    def exhaust_connections(self):
+        """A member accepts no further connections for a while."""
+        member = self.any_member_or_leader()
         member.limit = len(member.conns)
         return lambda: setattr(member, "limit", 100)
 
-    def leave(self):
-        """A member leaves, and is gone with its log; a new one has come before."""
+    def remove_member(self):
+        """A member leaves, and ends after 7 s with its log; at least three stay."""
         stay = [item for item in self.rig.group.members if not item.leaving]
         if len(stay) < 4:
             return
         member = self.rng.choice(stay)
         member.leaving = True
-        asyncio.get_running_loop().call_later(7.0, self.depart, member)
+        asyncio.get_running_loop().call_later(7.0, self.end_member, member)
 
-    def depart(self, member):
-        """The member that was leaving ends."""
+    def end_member(self, member):
+        """End a leaving member; a leader only crashes and stays in the group."""
         if member is self.rig.group.leader:
             member.crash()
             return
@@ -401,7 +404,7 @@
         self.rig.group.departed.append(member)
 
     def freeze_daemon(self):
-        """A daemon stands still: it reads its links when it goes on."""
+        """A daemon is paused for a while; it reads its links when it resumes."""
         name = self.rng.choice(self.rig.proxies).name
         if name in self.rig.links.frozen:
             return None
@@ -409,36 +412,36 @@
         return lambda: self.rig.links.thaw(name)
 
     def cut_links(self):
-        """Two daemons lose each other, and nothing tells them."""
+        """The link between two daemons is cut without notice."""
         pair = frozenset(item.name for item in self.rng.sample(self.rig.proxies, 2))
         self.rig.links.cut.add(pair)
         return lambda: self.rig.links.cut.discard(pair)
 
     def kill_daemon(self):
-        """A daemon is killed with its links, and starts anew."""
-        place = self.rng.randrange(len(self.rig.proxies))
-        name = self.rig.proxies[place].name
+        """A daemon is killed with its links, and restarts."""
+        index = self.rng.randrange(len(self.rig.proxies))
+        name = self.rig.proxies[index].name
         self.rig.links.kill(name)
-        self.restart(place)
+        self.restart_process(index)
         return lambda: self.rig.links.dead.discard(name)
 
     def drain_daemon(self):
-        """A daemon leaves: it takes no new work and ends what waits."""
+        """A daemon announces a drain, and ends waiting transactions after 1 s."""
         proxy = self.rng.choice(self.rig.proxies)
-        for desk in list(proxy.desks):
-            desk.tell_leaving()
+        for handler in list(proxy.peer_handlers):
+            handler.send_leaving()
         loop = asyncio.get_running_loop()
-        for desk in list(proxy.desks):
-            loop.call_later(1.0, desk.end_waiting)
+        for handler in list(proxy.peer_handlers):
+            loop.call_later(1.0, handler.end_idle_transactions)
 
-    def withdraw(self):
-        """A workspace loses its key, at each daemon at another moment."""
+    def withdraw_key(self):
+        """A workspace's key is withdrawn, on each daemon at a different time."""
         name = self.rng.choice(sorted(KEYS))
-        self.offer({**KEYS, name: []})
-        return lambda: self.offer(KEYS)
+        self.offer_keys({**KEYS, name: []})
+        return lambda: self.offer_keys(KEYS)
 
-    def offer(self, keys):
-        """A new version comes into force, soon on most daemons and late on some."""
+    def offer_keys(self, keys):
+        """Offer a new configuration to each daemon after a random delay up to 2 s."""
         self.rig.version += 1
         made = self.rig.configured(self.rig.version, keys)
         loop = asyncio.get_running_loop()
@@ -447,101 +450,105 @@
             loop.call_later(delay, proxy.offer_catalog, made, "test")
 
     def suspend(self):
-        """The machine is suspended: the steady clock stands still meanwhile."""
+        """The machine is suspended for up to 3 s; the loop's time excludes them."""
         self.rig.loop.suspended += self.rng.random() * 3
 
 
-def tend(proxy):
-    """Start what a daemon does all the time."""
-    proxy.keep_running(proxy.tend)
-    proxy.keep_running(proxy.keep_records)
-    proxy.keep_running(proxy.keep_leases_known)
+def start_maintenance(proxy):
+    """Start a daemon's background loops."""
+    proxy.keep_running(proxy.run_maintenance)
+    proxy.keep_running(proxy.record_members)
+    proxy.keep_running(proxy.refresh_leases)
 
 
-async def keep_listed(rig):
-    """All daemons see the list of members change, a moment late."""
+async def sync_member_lists(rig):
+    """Update all daemons' member lists, records and leases every 0.3 s."""
     while True:
         await asyncio.sleep(0.3)
         for proxy in rig.proxies:
-            proxy.take_members(rig.group.listing())
+            proxy.update_members(rig.group.listing())
             if "db" in rig.records.saved:
-                proxy.recorder.note("db", rig.records.saved["db"])
+                proxy.recorder.set_recorded("db", rig.records.saved["db"])
             if not rig.leases.down:
                 rig.catch_up(proxy)
 
 
-async def play(seed, troubles=TROUBLES, daemons=3, max_connections=34, keys=None):
-    """One run; returns the broken promises and the rig."""
+async def run_chaos(
+    seed, faults=BASIC_FAULTS, daemons=3, max_connections=34, keys=None
+):
+    """Run one seed; returns the broken promises and the rig."""
     rng = Random(seed)
     rig = Rig(daemons=daemons, max_connections=max_connections, keys=keys)
-    watch = Watch(rig=rig)
-    rig.group.watch = watch
+    checker = Checker(rig=rig)
+    rig.group.observer = checker
     for proxy in rig.proxies:
-        tend(proxy)
+        start_maintenance(proxy)
     await rig.settle()
-    listing = asyncio.create_task(keep_listed(rig))
+    listing = asyncio.create_task(sync_member_lists(rig))
     until = rig.loop.time() + RUN_SECONDS
     callers = [
         asyncio.create_task(
-            live(rig, watch, Random(seed * 100 + n), n % daemons, until)
+            run_caller(rig, checker, Random(seed * 100 + n), n % daemons, until)
         )
         for n in range(2 * daemons)
     ]
-    await Faults(rig=rig, rng=rng, troubles=troubles).run(until)
+    await FaultInjector(rig=rig, rng=rng, faults=faults).run(until)
     results = await asyncio.gather(*callers, return_exceptions=True)
-    watch.broken += [f"CALLER {item!r}" for item in results if item is not None]
-    heal(rig)
-    await write_on(rig, watch, CALM_SECONDS)
-    watch.finish()
-    await check_service(rig, watch)
+    checker.broken += [f"CALLER {item!r}" for item in results if item is not None]
+    end_all_faults(rig)
+    await write_periodically(rig, checker, RECOVERY_SECONDS)
+    checker.finish()
+    await check_service(rig, checker)
     listing.cancel()
-    return watch.broken, rig
+    return checker.broken, rig
 
 
-async def write_on(rig, watch, seconds):
-    """A write every two seconds at each daemon: callers go on after the troubles.
+async def write_periodically(rig, checker, seconds):
+    """Write through each daemon every two seconds, after the faults have ended.
 
-    A replica that an order of long ago has paused is only noticed by a write.
+    Only a write detects a replica that an old order has paused.
     """
     until = rig.loop.time() + seconds
     while rig.loop.time() < until:
         for proxy in rig.proxies:
             caller = rig.caller("own", proxy, LASTING_KEY)
-            watch.values[caller.number] = {}
-            await write(rig, watch, caller)
+            checker.values[caller.number] = {}
+            await write(rig, checker, caller)
         await asyncio.sleep(2.0)
 
 
-def heal(rig):
-    """End all troubles."""
+def end_all_faults(rig):
+    """End all faults."""
     rig.links.dead.clear()
     rig.links.cut.clear()
     for name in list(rig.links.frozen):
         rig.links.thaw(name)
-    rig.leases.down, rig.leases.lose = False, 0
+    rig.leases.down, rig.leases.lose_answers = False, 0
     for member in rig.group.members:
-        member.dark = member.deaf = member.dead = False
+        member.unresponsive = member.not_receiving = member.dead = False
         member.lose_answers = 0
         member.limit = 100
         member.cut_from.clear()
     rig.version += 1
     for proxy in rig.proxies:
-        proxy.around.dialer.dialer.cut.clear()
-        proxy.take_members(rig.group.listing())
+        proxy.context.dialer.dialer.cut.clear()
+        proxy.update_members(rig.group.listing())
         if rig.keys:
             proxy.offer_catalog(rig.configured(rig.version, rig.keys), "test")
 
 
-async def check_service(rig, watch):
-    """After all is well again, every daemon serves reads and writes."""
+async def check_service(rig, checker):
+    """Check that every daemon serves writes once the faults have ended."""
     for proxy in rig.proxies:
         caller: FakeCaller = rig.caller("own", proxy, LASTING_KEY)
-        watch.values[caller.number] = {}
+        checker.values[caller.number] = {}
         reply = await caller.send("WRITE last last")
         if not reply.ok:
-            watch.broken.append(f"RECOVER {proxy.name}: {reply.refusal} {reply.detail}")
+            checker.broken.append(
+                f"RECOVER {proxy.name}: {reply.refusal} {reply.detail}"
+            )
 
 
-def broken_promises(seed, troubles=TROUBLES, **fleet):
-    """Run one seed; the list of what was broken."""
-    return run(play(seed, troubles, **fleet))[0]
+def broken_promises(seed, faults=BASIC_FAULTS, **fleet):
+    """Run one seed; returns the broken promises."""
+    return run(run_chaos(seed, faults, **fleet))[0]
--- a/tests/sessions/feedrig.py
+++ b/tests/sessions/feedrig.py
@@ -1,4 +1,4 @@
-"""Daemons that keep feeds of one store in virtual time, watching it or not."""
+"""Daemons in virtual time that keep feeds of one store, as watchers or followers."""
 
 import asyncio
 import json
@@ -15,21 +15,21 @@
     StoreError,
 )
 from gypsum_platform.takers import CONFIG_KIND, CONFIG_WATCH_MS
-from gypsum_policy.revisions import era_of, in_era, number_of
+from gypsum_policy.revisions import era_of, make_revision, number_of
 from tests.sessions.rig import Rig
 
 KINDS = ("config", "servers")
-# One way to the store and back, seconds.
-ANSWER = 0.004
-# What a link of 5 Mbit/s carries, bytes a second.
+# Time for a request to the store and its answer, seconds.
+ROUND_TRIP = 0.004
+# Capacity of a link of 5 Mbit/s, bytes a second.
 SLOW_LINK = 600_000
 
 
 class VirtualStore:
-    """Objects by kind, one rising revision, a history; a mode for each client.
+    """Objects by kind with one increasing revision, and a history of changes.
 
-    A daemon in `busy` is turned away at once, one in `silent` gets no answer; `rate` is
-    how many bytes a second an answer comes in, 0 for at once.
+    Calls of a daemon in `busy` fail at once, those of one in `silent` get no answer.
+    `rate` is how many bytes a second an answer transfers, 0 for no limit.
     """
 
     def __init__(self):
@@ -57,38 +57,38 @@
         self.note(kind, Change(obj=obj, deleted=False))
 
     def remove(self, kind, name):
-        """Delete an object, if it is there."""
+        """Delete an object if it exists."""
         obj = self.kinds[kind].pop(name, None)
         if obj is not None:
             self.revision += 1
             self.note(kind, Change(obj=obj, deleted=True))
 
     def note(self, kind, change):
-        """Keep a change for watches and wake them."""
+        """Record a change in the history and wake watches."""
         self.history.append((self.revision, kind, change))
         self.changed.set()
         self.changed = asyncio.Event()
 
     def copy(self):
-        """A copy to return from."""
+        """Return a copy from which the store can be restored."""
         kinds = {kind: dict(objects) for kind, objects in self.kinds.items()}
         return self.revision, kinds, list(self.history)
 
     def return_from(self, copy):
-        """Return from a copy: what came after it is lost, its revisions come again."""
+        """Restore a copy: later changes are lost and their revisions are reused."""
         self.era += 1
         self.revision, kinds, history = copy
         self.kinds = {kind: dict(objects) for kind, objects in kinds.items()}
         self.history = list(history)
 
     def forget_history(self):
-        """Drop the history: watches from before get an error."""
+        """Drop the history: watches from earlier revisions get an error."""
         self.history.clear()
         self.oldest = self.revision
 
 
 class VirtualClient:
-    """One daemon's client of the store, as `gypsum_platform.store.Store` is."""
+    """One daemon's client of the store, like `gypsum_platform.store.Store`."""
 
     def __init__(self, *, store, daemon):
         self.store = store
@@ -96,17 +96,17 @@
         self.calls = 0
 
     async def arrive(self, step, timeout):
-        """A call reaches the store, or fails."""
+        """Wait until a call reaches the store, or raise StoreError."""
         self.calls += 1
-        await asyncio.sleep(ANSWER)
+        await asyncio.sleep(ROUND_TRIP)
         if self.daemon in self.store.silent:
             await asyncio.sleep(timeout)
             raise StoreError("silent", step=step, peer="store")
         if self.daemon in self.store.busy:
             raise StoreError("turned away", step=step, peer="store")
 
-    async def carry(self, objects):
-        """An answer comes over the daemon's link."""
+    async def transfer(self, objects):
+        """Wait until an answer has been transferred over the daemon's link."""
         if self.store.rate:
             size = sum(len(json.dumps(obj.spec)) for obj in objects)
             await asyncio.sleep(size / self.store.rate)
@@ -116,8 +116,8 @@
         await self.arrive("list", 2.0)
         found, revision = list(self.store.kinds[kind].values()), self.store.revision
         era = self.store.era
-        await self.carry(found)
-        return [read_in(era, obj) for obj in found], in_era(era, revision)
+        await self.transfer(found)
+        return [with_era(era, obj) for obj in found], make_revision(era, revision)
 
     async def watch(self, kind, since, *, wait_ms):
         """Changes since a revision, as soon as there is one."""
@@ -129,7 +129,10 @@
             raise HistoryGone("no such revision", step="watch", peer="store")
         loop = asyncio.get_running_loop()
         until = loop.time() + wait
-        while not (found := self.found(kind, number_of(since))) and loop.time() < until:
+        while (
+            not (found := self.changes_since(kind, number_of(since)))
+            and loop.time() < until
+        ):
             event = self.store.changed
             try:
                 async with asyncio.timeout(until - loop.time()):
@@ -142,20 +145,20 @@
         if self.daemon in self.store.busy:
             raise StoreError("cut off", step="watch", peer="store")
         self.check_history(since)
-        revision = in_era(self.store.era, self.store.revision)
-        await self.carry([change.obj for change in found])
+        revision = make_revision(self.store.era, self.store.revision)
+        await self.transfer([change.obj for change in found])
         changes = [
-            Change(obj=read_in(self.store.era, change.obj), deleted=change.deleted)
+            Change(obj=with_era(self.store.era, change.obj), deleted=change.deleted)
             for change in found
         ]
         return changes, revision
 
     def check_history(self, since):
-        """Raise HistoryGone if the store has returned from an older copy."""
+        """Raise HistoryGone if the store was restored from an older copy."""
         if era_of(since) != self.store.era:
             raise HistoryGone("an earlier era", step="watch", peer="store")
 
-    def found(self, kind, since):
+    def changes_since(self, kind, since):
         """Changes of a kind since a revision."""
         if since < self.store.oldest:
             raise HistoryGone("history is gone", step="watch", peer="store")
@@ -166,27 +169,27 @@
         ]
 
 
-def read_in(era, obj):
-    """An object as it is read in an era."""
+def with_era(era, obj):
+    """An object with its revisions labelled with an era."""
     return replace(
         obj,
-        revision=in_era(era, obj.revision),
-        created=in_era(era, obj.created),
+        revision=make_revision(era, obj.revision),
+        created=make_revision(era, obj.created),
     )
 
 
-class Copy:
-    """What one daemon has taken in of a kind: specs by name."""
+class FeedCopy:
+    """What one daemon has applied of a kind: specs by name."""
 
     def __init__(self):
         self.specs = {}
 
     def take_all(self, objects):
-        """The whole list."""
+        """Replace the copy by a whole list."""
         self.specs = {obj.name: obj.spec for obj in objects}
 
     def take_change(self, change):
-        """A changed or deleted object."""
+        """Apply a changed or deleted object."""
         if change.deleted:
             self.specs.pop(change.obj.name, None)
         else:
@@ -194,7 +197,7 @@
 
 
 class FeedRig:
-    """A rig whose daemons keep feeds; `copies` is what each knows of each kind."""
+    """A rig whose daemons keep feeds; `copies` has each daemon's copy of each kind."""
 
     def __init__(self, *, daemons=15, seed=1, **options):
         self.store = VirtualStore()
@@ -213,8 +216,8 @@
         waker = Waker()
         client = VirtualClient(store=self.store, daemon=proxy.name)
         self.clients[proxy.name] = client
-        self.copies[proxy.name] = {kind: Copy() for kind in KINDS}
-        proxy.relay.confirm_for(CONFIG_KIND, longest_silence(CONFIG_WATCH_MS))
+        self.copies[proxy.name] = {kind: FeedCopy() for kind in KINDS}
+        proxy.relay.set_confirmation_time(CONFIG_KIND, longest_silence(CONFIG_WATCH_MS))
         for kind, copy in self.copies[proxy.name].items():
             feed = Feed(
                 store=client,
@@ -224,13 +227,13 @@
                 log=proxy.log,
                 waker=waker,
                 relay=proxy.relay,
-                following=proxy.following,
+                following=proxy.feed_follower,
                 watch_ms=CONFIG_WATCH_MS if kind == CONFIG_KIND else WATCH_MS,
             )
             feed.rng = rng
             proxy.keep_running(feed.run)
         proxy.keep_running(proxy.relay.run)
-        proxy.keep_running(proxy.following.run)
+        proxy.keep_running(proxy.feed_follower.run)
 
     @property
     def followers(self):
@@ -242,8 +245,8 @@
         """Names of the daemons that watch the store."""
         return [p.name for p in self.rig.proxies if p.daemons.watches()]
 
-    def behind(self):
-        """Daemons and kinds that lack something of the store."""
+    def out_of_date(self):
+        """Daemons and kinds whose copy differs from the store."""
         return [
             (name, kind)
             for name, copies in self.copies.items()
@@ -253,17 +256,20 @@
             != {obj.name: obj.spec for obj in self.store.kinds[kind].values()}
         ]
 
-    async def in_force(self, within):
-        """Wait until nobody lacks anything; AssertionError if that takes longer."""
+    async def wait_in_sync(self, within):
+        """Wait until all copies match the store; AssertionError if it takes longer."""
         loop = asyncio.get_running_loop()
         until = loop.time() + within
-        while self.behind():
-            assert loop.time() < until, self.behind()
+        while self.out_of_date():
+            assert loop.time() < until, self.out_of_date()
             await asyncio.sleep(0.05)
 
 
 def large_config(version, routes=1600):
-    """A configuration too large to be passed on as it is, names as good as random."""
+    """A configuration too large to be relayed in one update.
+
+    Its names are random, so that it compresses little.
+    """
     rng = Random(version)
     return {
         "version": version,
--- a/tests/sessions/test_relay.py
+++ b/tests/sessions/test_relay.py
@@ -1,4 +1,4 @@
-"""News of the store reach daemons that do not watch it, and never older ones."""
+"""Feed updates reach daemons that do not watch the store, and never out of order."""
 
 import asyncio
 from random import Random
@@ -6,10 +6,10 @@
 import pytest
 
 from gypsum_policy.relays import (
-    MOST_BYTES,
+    MAX_CHANGE_BYTES,
     PIECE_BYTES,
-    SILENT_AFTER,
-    continues,
+    WATCHER_TIMEOUT,
+    is_contiguous,
     is_current,
     watcher_count,
 )
@@ -22,7 +22,7 @@
 
 
 async def make_rig():
-    """Fifteen daemons in one domain, two of them watchers; one follower that runs."""
+    """Fifteen daemons in one domain, two of them watchers; one follower runs."""
     rig = Rig(daemons=DAEMONS, max_connections=9)
     follower = next(proxy for proxy in rig.proxies if not proxy.daemons.watches())
     watchers = [rig.links.proxies[name] for name in follower.daemons.watchers()]
@@ -30,56 +30,56 @@
     for proxy in watchers:
         proxy.keep_running(proxy.relay.run)
         proxy.relay.take_all(FEED, {"a": {"x": 1}}, 10)
-        proxy.keep_running(touch(proxy))
-    follower.following.knows(FEED, 10)
-    follower.keep_running(follower.following.run)
+        proxy.keep_running(keep_store_answering(proxy))
+    follower.feed_follower.set_known_revision(FEED, 10)
+    follower.keep_running(follower.feed_follower.run)
     await asyncio.sleep(1.0)
     return rig, follower, watchers
 
 
-def touch(proxy):
-    """The store answers a watcher again and again."""
+def keep_store_answering(proxy):
+    """Report an answer of the store to a watcher every 0.1 s."""
 
-    async def keep_touching():
+    async def keep_answering():
         while True:
-            proxy.relay.touched(FEED)
+            proxy.relay.store_answered(FEED)
             await asyncio.sleep(0.1)
 
-    return keep_touching
+    return keep_answering
 
 
 def objects_of(count):
-    """Objects that hardly shrink when they are packed."""
+    """Objects that compress little."""
     rng = Random(1)
     return {f"n{number}": {"x": rng.getrandbits(60)} for number in range(count)}
 
 
 def followed(rig, follower):
-    """The watcher that is followed."""
-    return rig.links.proxies[follower.following.link.peer]
+    """The watcher that a daemon follows."""
+    return rig.links.proxies[follower.feed_follower.link.peer]
 
 
-def test_a_few_watch_and_small_fleets_all_do():
+def test_a_few_daemons_watch_and_in_small_fleets_all_do():
     assert watcher_count(91, 3) == 6
     assert watcher_count(9, 3) == 9
 
 
-def test_news_come_in_order_and_once():
+def test_updates_arrive_in_order_and_once():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
         watcher.relay.take_changes(FEED, {"b": {"x": 2}}, [], 11)
         watcher.relay.take_changes(FEED, {}, ["a"], 12)
-        first = await follower.following.next(FEED)
-        follower.following.knows(FEED, first.revision)
-        second = await follower.following.next(FEED)
+        first = await follower.feed_follower.next_update(FEED)
+        follower.feed_follower.set_known_revision(FEED, first.revision)
+        second = await follower.feed_follower.next_update(FEED)
         assert (first.changed, first.revision) == ({"b": {"x": 2}}, 11)
         assert (second.removed, second.revision) == (("a",), 12)
 
     run(main())
 
 
-def test_one_that_begins_to_follow_late_gets_the_whole_list():
+def test_a_late_follower_gets_the_whole_list():
     async def main():
         rig, follower, watchers = await make_rig()
         late = next(
@@ -89,121 +89,123 @@
         )
         for proxy in watchers:
             proxy.relay.take_changes(FEED, {"b": {"x": 2}}, [], 11)
-        late.following.knows(FEED, 10)
-        late.keep_running(late.following.run)
+        late.feed_follower.set_known_revision(FEED, 10)
+        late.keep_running(late.feed_follower.run)
         await asyncio.sleep(1.0)
-        news = await late.following.next(FEED)
-        assert news.whole and set(news.changed) == {"a", "b"}
+        update = await late.feed_follower.next_update(FEED)
+        assert update.whole and set(update.changed) == {"a", "b"}
 
     run(main())
 
 
-def test_a_watcher_that_falls_silent_is_left_for_another():
-    """Symptom: a daemon serves by a configuration that is long gone.
+def test_a_silent_watcher_is_replaced():
+    """Guards against a daemon that uses an outdated configuration.
 
-    Sequence: the watcher that it follows freezes. Cause: nothing tells it that no
-    news come because nobody can send any.
+    The watcher that it follows freezes, and nothing distinguished missing updates from
+    no changes.
     """
 
     async def main():
         rig, follower, _ = await make_rig()
         first = followed(rig, follower)
         rig.links.freeze(first.name)
-        await asyncio.sleep(SILENT_AFTER + 0.1)
-        assert not follower.following.current(FEED)
+        await asyncio.sleep(WATCHER_TIMEOUT + 0.1)
+        assert not follower.feed_follower.is_up_to_date(FEED)
         await asyncio.sleep(1.5)
-        assert follower.following.current(FEED)
+        assert follower.feed_follower.is_up_to_date(FEED)
         assert followed(rig, follower) is not first
 
     run(main())
 
 
-def test_a_watcher_without_the_store_is_left_for_one_that_is_in_touch():
-    """Symptom: as above, the watcher lives.
+def test_a_watcher_without_confirmed_feeds_is_replaced():
+    """Guards against an outdated configuration while the watcher is alive.
 
-    Sequence: the watcher is cut from the store, the others are not. Cause: it is
-    followed on, and has no news.
+    The watcher is cut off from the store, other watchers are not. It was followed
+    further, and had no updates.
     """
 
     async def main():
         rig, follower, _ = await make_rig()
         first = followed(rig, follower)
-        first.relay.touched = lambda name: None
-        await asyncio.sleep(first.tuning.in_touch_for + 1.5)
+        first.relay.store_answered = lambda name: None
+        await asyncio.sleep(first.tuning.store_confirmation_time + 1.5)
         assert followed(rig, follower) is not first
-        assert follower.following.current(FEED)
+        assert follower.feed_follower.is_up_to_date(FEED)
 
     run(main())
 
 
-def test_watchers_without_the_store_vouch_for_nothing():
+def test_watchers_without_the_store_confirm_nothing():
     async def main():
         rig, follower, watchers = await make_rig()
         for proxy in watchers:
-            proxy.relay.touched = lambda name: None
-        await asyncio.sleep(watchers[0].tuning.in_touch_for + 1.5)
-        assert not follower.following.current(FEED)
+            proxy.relay.store_answered = lambda name: None
+        await asyncio.sleep(watchers[0].tuning.store_confirmation_time + 1.5)
+        assert not follower.feed_follower.is_up_to_date(FEED)
 
     run(main())
 
 
-def test_who_knows_more_than_its_watcher_takes_what_follows_on_it():
-    """A follower that has asked the store itself rests: its watcher is in touch with
-    the store, and tells all that changes after what the watcher knows.
+def test_a_follower_ahead_of_its_watcher_applies_later_updates():
+    """A follower ahead of its watcher is up to date.
+
+    It has asked the store itself. Its watcher is confirmed by the store, and sends all
+    changes after the revision that the watcher knows.
     """
 
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
-        follower.following.knows(FEED, 50)
-        assert follower.following.current(FEED)
+        follower.feed_follower.set_known_revision(FEED, 50)
+        assert follower.feed_follower.is_up_to_date(FEED)
         watcher.relay.take_changes(FEED, {"b": {"x": 2}}, [], 40)
         watcher.relay.take_changes(FEED, {"c": {"x": 3}}, [], 60)
-        news = await follower.following.next(FEED)
-        assert (news.changed, news.revision) == ({"c": {"x": 3}}, 60)
+        update = await follower.feed_follower.next_update(FEED)
+        assert (update.changed, update.revision) == ({"c": {"x": 3}}, 60)
 
     run(main())
 
 
-def test_news_with_a_gap_before_them_are_not_taken():
+def test_updates_after_a_gap_are_not_applied():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
         watcher.relay.feeds[FEED].revision = 12
         watcher.relay.take_changes(FEED, {"b": {"x": 2}}, [], 13)
         await asyncio.sleep(0.1)
-        assert follower.following.behind(FEED)
-        assert not follower.following.current(FEED)
-        assert await follower.following.next(FEED) is None
+        assert follower.feed_follower.behind(FEED)
+        assert not follower.feed_follower.is_up_to_date(FEED)
+        assert await follower.feed_follower.next_update(FEED) is None
 
     run(main())
 
 
-def test_news_that_are_too_large_are_left_to_the_store():
+def test_updates_that_are_too_large_are_not_relayed():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
-        watcher.relay.take_changes(FEED, {"b": {"x": "y" * MOST_BYTES}}, [], 11)
+        watcher.relay.take_changes(FEED, {"b": {"x": "y" * MAX_CHANGE_BYTES}}, [], 11)
         await asyncio.sleep(0.1)
-        assert not follower.following.current(FEED)
-        assert await follower.following.next(FEED) is None
+        assert not follower.feed_follower.is_up_to_date(FEED)
+        assert await follower.feed_follower.next_update(FEED) is None
 
     run(main())
 
 
-def test_a_whole_list_comes_in_pieces_when_it_is_asked_for():
+def test_a_whole_list_is_sent_in_pieces_on_request():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
         large = objects_of(4000)
         watcher.relay.take_changes(FEED, large, [], 11)
         await asyncio.sleep(0.1)
-        assert follower.following.behind(FEED)
-        follower.following.store_lost(FEED)
+        assert follower.feed_follower.behind(FEED)
+        follower.feed_follower.store_lost(FEED)
         await asyncio.sleep(0.5)
-        news = await follower.following.next(FEED)
-        assert news.whole and news.revision == 11
-        assert news.changed == {"a": {"x": 1}, **large}
+        update = await follower.feed_follower.next_update(FEED)
+        assert update.whole and update.revision == 11
+        assert update.changed == {"a": {"x": 1}, **large}
 
     run(main())
 
@@ -222,24 +224,24 @@
         unpack(pieces)
 
 
-def test_who_has_the_last_change_is_current():
+def test_a_daemon_with_the_last_change_is_current():
     assert is_current(known=12, since=12)
     assert is_current(known=13, since=12)
     assert not is_current(known=11, since=12)
 
 
 def test_changes_continue_what_reaches_their_beginning():
-    assert continues(known=12, since=10, revision=15)
-    assert continues(known=10, since=10, revision=15)
-    assert not continues(known=9, since=10, revision=15)
-    assert not continues(known=15, since=10, revision=15)
+    assert is_contiguous(known=12, since=10, revision=15)
+    assert is_contiguous(known=10, since=10, revision=15)
+    assert not is_contiguous(known=9, since=10, revision=15)
+    assert not is_contiguous(known=15, since=10, revision=15)
 
 
-def test_what_a_watcher_sent_that_was_left_does_not_count():
-    """Symptom: an upstream that is gone comes back into a daemon's list.
+def test_updates_of_a_previous_watcher_are_discarded():
+    """Guards against a removed upstream that reappears in a daemon's list.
 
-    Sequence: news are on their way, or not taken in yet, when their watcher is left for
-    another one that knows more. Cause: they were taken in after the other one's.
+    Updates are in flight or not applied yet when their watcher is left for another one
+    that knows more. They were applied after the updates of the new watcher.
     """
 
     async def main():
@@ -249,23 +251,23 @@
         first.relay.take_changes(FEED, {"b": {"x": 2}}, [], 11)
         await asyncio.sleep(0.01)
         first.relay.take_changes(FEED, {"c": {"x": 3}}, [], 12)
-        follower.following.leave()
+        follower.feed_follower.unfollow()
         second.relay.take_changes(FEED, {"b": {"x": 2}}, [], 11)
         second.relay.take_changes(FEED, {}, ["b"], 13)
         rig.links.freeze(first.name)
         await asyncio.sleep(2.0)
         assert followed(rig, follower) is second
-        news = await follower.following.next(FEED)
-        assert news.whole and set(news.changed) == {"a"} and news.revision == 13
-        follower.following.knows(FEED, 13)
+        update = await follower.feed_follower.next_update(FEED)
+        assert update.whole and set(update.changed) == {"a"} and update.revision == 13
+        follower.feed_follower.set_known_revision(FEED, 13)
         rig.links.thaw(first.name)
         await asyncio.sleep(0.5)
-        assert not follower.following.has_news(FEED)
+        assert not follower.feed_follower.has_updates(FEED)
 
     run(main())
 
 
-def test_a_follower_that_stood_still_takes_in_what_came_meanwhile():
+def test_a_suspended_follower_applies_queued_updates():
     async def main():
         rig, follower, _ = await make_rig()
         watcher = followed(rig, follower)
@@ -279,10 +281,10 @@
             if link.at == follower.name:
                 link.deliver_waiting()
         known = []
-        while follower.following.feed(FEED).known < 13:
-            news = await follower.following.next(FEED)
-            follower.following.knows(FEED, news.revision)
-            known.append(news.revision)
+        while follower.feed_follower.feed(FEED).known < 13:
+            update = await follower.feed_follower.next_update(FEED)
+            follower.feed_follower.set_known_revision(FEED, update.revision)
+            known.append(update.revision)
         assert known == [11, 12, 13]
 
     run(main())
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -1,13 +1,13 @@
-"""A primary out of service is replaced, and nothing acknowledged is lost."""
+"""Replacing a primary that is out of service without losing acknowledged writes."""
 
 import asyncio
 from dataclasses import replace
 
 from gypsum_core.records import Position
-from gypsum_policy.succession import choose_successor
-from gypsum_sessions.daemons.registry import DaemonEntry, Daemons
+from gypsum_policy.promotion import choose_promotion_target
+from gypsum_sessions.daemons.registry import DaemonEntry, DaemonRegistry
 from gypsum_sessions.replies import Refusal, UpstreamStatus
-from gypsum_sessions.takeover.replication import Paused
+from gypsum_sessions.takeover.replication import PausedReplica
 from tests.sessions.fakegroup import PROMOTE_TIME
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
@@ -20,32 +20,38 @@
 
 
 def paused(name, index, *, leaving=False, term=1):
-    """A paused member with a log that long."""
+    """A paused member whose log ends at `index` of `term`."""
     status = UpstreamStatus(
         leads=False,
         term=1,
         received=Position(term=term, index=index),
-        held_term=2,
+        paused_term=2,
         lag_ms=0.0,
     )
-    return Paused(upstream=name, leaving=leaving, status=status)
+    return PausedReplica(upstream=name, leaving=leaving, status=status)
 
 
 def test_the_longest_log_is_chosen_even_if_it_leaves():
-    assert choose_successor([paused("a", 5), paused("b", 6, leaving=True)]) == "b"
+    assert (
+        choose_promotion_target([paused("a", 5), paused("b", 6, leaving=True)]) == "b"
+    )
 
 
 def test_of_equal_logs_the_one_that_stays_is_chosen():
-    assert choose_successor([paused("z", 5, leaving=True), paused("a", 5)]) == "a"
+    assert (
+        choose_promotion_target([paused("z", 5, leaving=True), paused("a", 5)]) == "a"
+    )
 
 
 def test_a_later_term_is_longer_than_any_index():
-    assert choose_successor([paused("a", 9, term=1), paused("b", 3, term=2)]) == "b"
+    assert (
+        choose_promotion_target([paused("a", 9, term=1), paused("b", 3, term=2)]) == "b"
+    )
 
 
 def test_groups_are_spread_over_the_daemons():
     entries = [DaemonEntry(id=f"d{number}", domain="a") for number in range(9)]
-    daemons = Daemons(own=entries[0])
+    daemons = DaemonRegistry(own=entries[0])
     daemons.take_all(entries)
     first = {daemons.order(f"g{group}", 1)[0] for group in range(40)}
     assert len(first) >= 6
@@ -55,14 +61,14 @@
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        told = []
-        writers = start_writers(rig, 6.0, told)
+        results = []
+        writers = start_writers(rig, 6.0, results)
         await asyncio.sleep(1.0)
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.gather(*writers)
         assert rig.group.promotions and rig.group.leader is not rig.group["u1"]
-        check_nothing_lost(rig, told)
-        assert writes_resumed_after(told, 1.1) < 2.2 + PROMOTE_TIME
+        check_nothing_lost(rig, results)
+        assert writes_resumed_after(results, 1.1) < 2.2 + PROMOTE_TIME
 
     run(main())
 
@@ -71,77 +77,77 @@
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        told = []
-        writer = asyncio.create_task(write_for(rig, rig.proxy, 6.0, told))
+        results = []
+        writer = asyncio.create_task(write_for(rig, rig.proxy, 6.0, results))
         await asyncio.sleep(1.0)
         rig.group["u1"].crash()
         await asyncio.sleep(3.0)
         rig.group["u1"].restart()
         await writer
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
         assert len(rig.group.promotions) == 1
 
     run(main())
 
 
 def test_nothing_is_promoted_while_a_replica_cannot_be_paused():
-    """Symptom: an acknowledged commit vanishes with a promotion.
+    """Guards against losing an acknowledged commit with a promotion.
 
-    Sequence: the primary and one replica are out of reach; the other replica lags;
-    it is promoted. Cause: the commit was acknowledged through the replica that
-    nobody asked.
+    The primary and one replica are unreachable and the other replica lags. Promoting
+    the lagging one would lose a commit that was acknowledged through the unreachable
+    replica.
     """
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.group["u2"].deaf = True
+        rig.group["u2"].not_receiving = True
         assert (await rig.caller("own").send("WRITE a 1")).ok
-        rig.group["u3"].dark = True
-        rig.group["u1"].dark = True
+        rig.group["u3"].unresponsive = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(8.0)
         assert rig.group.promotions == []
         refused = await rig.caller("own").send("WRITE b 2")
         assert refused.refusal is Refusal.BUSY and refused.retry_after_ms
-        rig.group["u3"].dark = False
+        rig.group["u3"].unresponsive = False
         await asyncio.sleep(14.0)
         assert rig.group.promotions and rig.group.promotions[0][1] == []
 
     run(main())
 
 
-def test_a_daemon_that_is_cut_off_alone_does_no_harm():
-    """Symptom: a healthy primary is replaced and acknowledged writes are lost.
+def test_a_daemon_that_alone_is_cut_off_causes_no_data_loss():
+    """Guards against losing acknowledged writes when a healthy primary is replaced.
 
-    Sequence: one daemon loses its path to the primary only, and replaces it, while
-    the others write on. Cause: it counts its own silence as a death.
+    One daemon loses its path to the primary only, takes the primary for dead and
+    replaces it while the other daemons continue to write.
     """
 
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        told = []
+        results = []
         cut = rig.proxies[0]
         writers = [
-            asyncio.create_task(write_for(rig, proxy, 8.0, told))
+            asyncio.create_task(write_for(rig, proxy, 8.0, results))
             for proxy in rig.proxies[1:]
         ]
         await asyncio.sleep(0.5)
-        cut.around.dialer.dialer.cut.add("u1")
+        cut.context.dialer.dialer.cut.add("u1")
         for conn in list(rig.group["u1"].conns):
-            conn.silent = conn.silent or conn.dialer is cut.around.dialer.dialer
+            conn.silent = conn.silent or conn.dialer is cut.context.dialer.dialer
         await asyncio.gather(*writers)
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
 
     run(main())
 
 
 def test_a_primary_that_takes_no_further_connection_is_not_replaced():
-    """Symptom: right after a power loss of all daemons a takeover begins.
+    """Guards against a takeover right after a power loss of all daemons.
 
-    Sequence: all daemons are back at once, the upstreams still count their old
-    connections and refuse new ones for three seconds. Cause: a primary that nobody
-    could ask was taken for dead, though it answered the dials.
+    All daemons restart at once. For three seconds the upstreams still count the old
+    connections and refuse new ones. A primary that no daemon could ask would be taken
+    for dead although it answered the dials.
     """
 
     async def main():
@@ -164,45 +170,46 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writer = asyncio.create_task(write_for(rig, rig.proxy, 5.0, told))
+        results = []
+        writer = asyncio.create_task(write_for(rig, rig.proxy, 5.0, results))
         await asyncio.sleep(1.0)
         leaving = [
             replace_leaving(member) if member.id == "u1" else member
             for member in rig.group.listing()
         ]
         for proxy in rig.proxies:
-            proxy.take_members(leaving)
+            proxy.update_members(leaving)
         await writer
         assert rig.group.leader is not rig.group["u1"]
-        check_nothing_lost(rig, told)
-        assert writes_resumed_after(told, 1.2) < 1.2 + PROMOTE_TIME
+        check_nothing_lost(rig, results)
+        assert writes_resumed_after(results, 1.2) < 1.2 + PROMOTE_TIME
 
     run(main())
 
 
 def replace_leaving(member):
-    """The member as the list shows it when it leaves."""
+    """The member as listed while it is leaving."""
     return replace(member, leaving=True)
 
 
 def test_a_primary_cut_from_its_replicas_is_replaced():
-    """Symptom: writes stand still while the primary looks healthy.
+    """Guards against stalled writes at a primary that looks healthy.
 
-    Sequence: the primary loses its replicas, but not the daemons; commits wait for a
-    replica. Cause: only silence of the primary counted, and it was not silent.
+    The primary is cut off from its replicas but not from the daemons. It answers
+    probes while its commits wait for a replica, so a missing answer to a probe cannot
+    be the only sign of failure.
     """
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writers = start_writers(rig, 8.0, told)
+        results = []
+        writers = start_writers(rig, 8.0, results)
         await asyncio.sleep(1.0)
         rig.group["u1"].cut_from.update({"u2", "u3"})
         await asyncio.gather(*writers)
         assert rig.group.leader is not rig.group["u1"]
-        check_nothing_lost(rig, told)
+        check_nothing_lost(rig, results)
 
     run(main())
 
@@ -211,15 +218,15 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.promoter.late = [4.0, 2.5]
-        told = []
-        writers = start_writers(rig, 15.0, told)
+        rig.promoter.delayed_orders = [4.0, 2.5]
+        results = []
+        writers = start_writers(rig, 15.0, results)
         await asyncio.sleep(1.0)
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.gather(*writers)
         assert all(lost == [] for _, lost in rig.group.promotions)
-        check_nothing_lost(rig, told)
-        assert told[-1][1] is None
+        check_nothing_lost(rig, results)
+        assert results[-1][1] is None
 
     run(main())
 
@@ -228,8 +235,8 @@
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        rig.promoter.highest = 3
-        rig.group["u1"].dark = True
+        rig.promoter.highest_token = 3
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(12.0)
         tokens = [token for _, _, token in rig.promoter.orders]
         assert len(tokens) == len(set(tokens))
@@ -238,11 +245,11 @@
     run(main())
 
 
-def test_a_full_queue_is_no_death():
-    """Symptom: a burst makes the daemons replace a healthy primary.
+def test_a_primary_with_a_full_queue_is_not_replaced():
+    """Guards against replacing a healthy primary during a burst of load.
 
-    Sequence: the primary's queue is full for a second, proofs are turned away as
-    busy. Cause: every proof that failed counted as silence.
+    The primary's queue is full for a second and it refuses proofs as busy. Such a
+    refusal must not count as a missing answer.
     """
 
     async def main():
@@ -258,10 +265,10 @@
 
 
 def test_a_start_before_all_members_are_listed_replaces_nobody():
-    """Symptom: at the start a lease is taken and members are paused.
+    """Guards against a takeover while a group starts.
 
-    Sequence: replicas are listed seconds before the primary is. Cause: a group whose
-    primary nobody has heard of yet looked like one that lost it.
+    The replicas are listed seconds before the primary. A group whose primary is not
+    listed yet must not look like one that lost its primary.
     """
 
     async def main():
@@ -269,11 +276,11 @@
         await rig.settle()
         proxy = rig.make_proxy("late", ["late", "d0"], rig.proxy.tuning, 1)
         group = proxy.groups["db"]
-        group.take_members([])
+        group.update_members([])
         await asyncio.sleep(2.0)
-        proxy.take_members([m for m in rig.group.listing() if m.id != "u1"])
+        proxy.update_members([m for m in rig.group.listing() if m.id != "u1"])
         await asyncio.sleep(1.5)
-        proxy.take_members(rig.group.listing())
+        proxy.update_members(rig.group.listing())
         await asyncio.sleep(1.0)
         assert rig.promoter.orders == []
         assert all(member.paused == 0 for member in rig.group.members)
@@ -286,11 +293,11 @@
         rig = Rig(daemons=2)
         await rig.settle()
         first, second = (proxy.takeovers["db"] for proxy in rig.proxies)
-        assert await first.take_lease("test")
+        assert await first.acquire_lease("test")
         await asyncio.sleep(0.1)
-        assert not await second.take_lease("test")
+        assert not await second.acquire_lease("test")
         await asyncio.sleep(4.0)
-        assert await second.take_lease("test")
+        assert await second.acquire_lease("test")
         await asyncio.sleep(0.01)
         assert first.superseded()
 
@@ -298,10 +305,10 @@
 
 
 def test_a_member_whose_address_another_has_taken_is_not_waited_for():
-    """Symptom: a dead primary is replaced only seconds after it could be.
+    """Guards against a delay of seconds before a dead primary is replaced.
 
-    Sequence: a replica crashes and another starts at its address, the primary dies,
-    the list still names the old replica. Cause: the takeover waits for it.
+    A replica crashes, another upstream starts at its address, and the primary dies
+    while the list still names the old replica. The takeover would wait for it.
     """
 
     async def main():
@@ -310,7 +317,7 @@
         rig.group["u3"].replaced = True
         for conn in list(rig.group["u3"].conns):
             conn.close()
-        rig.group["u1"].dark = True
+        rig.group["u1"].unresponsive = True
         await asyncio.sleep(4.0)
         assert rig.group.leader is rig.group["u2"]
         assert rig.proxy.groups["db"].member("u3") is None
@@ -319,10 +326,10 @@
 
 
 def test_an_upstream_that_takes_no_more_connections_still_leads():
-    """Symptom: writes are refused for want of a primary that is well.
+    """Guards against refused writes while the primary is healthy.
 
-    Sequence: an upstream is at its limit of connections while statements hold all that
-    a daemon has; a further one for proofs is refused. Cause: that counted as a lost
+    The primary is at its connection limit and statements hold all connections of a
+    daemon, so another connection for a proof is refused. This must not count as a lost
     leader.
     """
 
@@ -349,11 +356,11 @@
     run(main())
 
 
-def test_a_leaving_primary_that_cannot_be_replaced_is_left_in_time():
-    """Symptom: work is sent to an upstream long after it said that it leaves.
+def test_a_leaving_primary_that_cannot_be_replaced_gets_no_late_work():
+    """Guards against sending work to an upstream long after it announced its departure.
 
-    Sequence: the primary leaves, the store is away, so nobody can be promoted. Cause:
-    it still led, and nothing else was asked.
+    The primary is leaving while the store is unavailable, so no member can be promoted
+    and the leaving member is still the leader.
     """
 
     async def main():
@@ -361,7 +368,7 @@
         await rig.settle()
         rig.leases.down = True
         listing = rig.group.listing()
-        rig.proxy.take_members(
+        rig.proxy.update_members(
             [replace_leaving(item) if item.id == "u1" else item for item in listing]
         )
         caller = rig.caller("own")
@@ -376,12 +383,12 @@
     run(main())
 
 
-def test_a_daemon_with_an_old_list_deposes_nobody():
-    """Symptom: acknowledged commits of a healthy new primary are lost.
+def test_a_daemon_with_an_outdated_list_starts_no_takeover():
+    """Guards against losing acknowledged commits of a healthy new primary.
 
-    Sequence: a daemon is cut off; meanwhile the primary is replaced by a member that
-    joined; the daemon comes back, finds no leader among the members that it knows, and
-    takes the lease. Cause: it chose among its old list.
+    While a daemon is cut off, a member that joined meanwhile replaces the primary. The
+    daemon returns, finds no leader among the members on its outdated list and would
+    promote one of them.
     """
 
     async def main():
@@ -394,7 +401,7 @@
         rig.group["u1"].crash()
         await asyncio.sleep(5.0)
         late = rig.make_proxy("late", ["late"], rig.proxy.tuning, 1)
-        late.take_members([item for item in old_view if item.id != "u4"])
+        late.update_members([item for item in old_view if item.id != "u4"])
         await asyncio.sleep(4.0)
         assert rig.promoter.orders == []
         assert late.groups["db"].watch.leader == "u4"
--- a/tests/sessions/test_workspaces.py
+++ b/tests/sessions/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Callers' keys: who is let in, in whose name statements run, when a key ends."""
+"""Callers' keys: authentication, workspaces of statements, withdrawal of keys."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from gypsum_platform.codec import read_statement
 from gypsum_sessions.callers.keys import digest_of
 from gypsum_sessions.replies import Refusal, SessionState
-from tests.sessions.connected import connect
-from tests.sessions.owners import DAEMONS, FEW
+from tests.sessions.connections import connect
+from tests.sessions.owners import DAEMONS, MAX_CONNECTIONS
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
 
@@ -16,41 +16,41 @@
 WITHOUT_N1 = {"north": ["n2"], "south": ["s1"]}
 
 
-class Names:
-    """Keeps in whose name each caller's statement ran."""
+class WorkspaceRecorder:
+    """Records the workspace in whose name each caller's statement ran."""
 
     def __init__(self):
         self.ran = []
 
     def statement_ran(self, conn, request):
-        """An upstream ran a caller's statement."""
+        """Record a statement that an upstream ran."""
         self.ran.append((request, conn.workspace))
 
     def read_ran(self, member, request):
-        """An upstream ran a read: that is in `ran` already."""
+        """Ignore a read: `statement_ran` has recorded it."""
 
 
 async def keyed_rig(**fleet):
-    """Daemons whose callers show keys, and the names in which statements ran."""
+    """Return daemons whose callers need keys, with a recorder of workspaces."""
     rig = Rig(keys=KEYS, **fleet)
-    rig.group.watch = Names()
+    rig.group.observer = WorkspaceRecorder()
     await rig.settle()
     return rig
 
 
 async def owners_rig():
-    """The same with daemons that send statements to owners."""
-    return await keyed_rig(daemons=DAEMONS, max_connections=FEW)
+    """Return such daemons, some of which forward statements to owners."""
+    return await keyed_rig(daemons=DAEMONS, max_connections=MAX_CONNECTIONS)
 
 
 def withdraw(rig, *proxies, version=2, keys=None):
-    """Bring a configuration without a key into force at some daemons."""
+    """Apply a configuration without a key on some daemons, by default on all."""
     for proxy in proxies or rig.proxies:
         proxy.offer_catalog(rig.configured(version, keys or WITHOUT_N1), "test")
 
 
 @pytest.mark.parametrize("key", ["", "N1", "n1 ", "north", "n", "x" * 100_000, "\xff"])
-def test_who_shows_no_known_key_is_not_let_in(key):
+def test_unknown_key_gets_no_session(key):
     async def main():
         rig = await keyed_rig()
         assert rig.proxy.open_session("own", digest_of(key.encode())) is None
@@ -58,7 +58,7 @@
     run(main())
 
 
-def test_the_refusal_ends_the_connection_and_says_why():
+def test_unknown_key_closes_the_connection_and_is_logged():
     async def main():
         rig = await keyed_rig()
         with pytest.raises(AssertionError):
@@ -76,16 +76,16 @@
         keys = {"own": {"public": True}}
         rig.proxy.offer_catalog(rig.configured(2, KEYS, **keys), "test")
         assert (await rig.caller("own").send("READ a")).ok
-        assert rig.group.watch.ran[-1][1] == ""
+        assert rig.group.observer.ran[-1][1] == ""
 
     run(main())
 
 
 def test_statements_run_in_the_name_of_their_callers_workspace():
-    """Symptom: an upstream runs one workspace's statement in another one's name.
+    """Guards against a statement that runs in the name of another workspace.
 
-    Sequence: connections of two workspaces are idle, one calls. Cause: a connection
-    was taken for its values, whoever it had been opened for.
+    With idle connections of two workspaces, one chosen only by its session values may
+    have been opened for the other workspace.
     """
 
     async def main():
@@ -97,13 +97,15 @@
                     assert (await caller.send(text)).ok
                 await asyncio.sleep(0.01)
                 own = f"{caller.number}-"
-                ran = {who for req, who in rig.group.watch.ran if req.startswith(own)}
+                ran = {
+                    who for req, who in rig.group.observer.ran if req.startswith(own)
+                }
                 assert ran == {name}
 
     run(main())
 
 
-def test_by_way_of_owners_they_do_so_too():
+def test_forwarded_statements_run_in_the_name_of_their_callers_workspace():
     async def main():
         rig = await owners_rig()
         for key, name in (("n1", "north"), ("s1", "south"), ("n2", "north")):
@@ -111,7 +113,7 @@
             for text in ("READ a", "WRITE a 1", "BEGIN READ", "READ a", "COMMIT"):
                 assert (await caller.send(text)).ok
             own = f"{caller.number}-"
-            ran = {who for req, who in rig.group.watch.ran if req.startswith(own)}
+            ran = {who for req, who in rig.group.observer.ran if req.startswith(own)}
             assert ran == {name}
 
     run(main())
@@ -131,10 +133,10 @@
 
 
 def test_an_open_transaction_is_rolled_back_with_its_key():
-    """Symptom: a caller whose key was withdrawn goes on writing for seconds.
+    """Guards against a caller that goes on writing after its key was withdrawn.
 
-    Sequence: it has a transaction open, its key is withdrawn, it pauses, then writes
-    and commits. Cause: a key was looked at when the session opened, and never again.
+    It has a transaction open, pauses, then writes and commits. A key that is checked
+    only when the session opens would allow that.
     """
 
     async def main():
@@ -157,10 +159,10 @@
     async def main():
         rig = await keyed_rig()
         caller, link = await connect(rig.proxy, key="n1")
-        caller.statement("1", read_statement("READ a"))
+        caller.on_statement("1", read_statement("READ a"))
         await asyncio.sleep(0.005)
         withdraw(rig)
-        caller.statement("2", read_statement("READ a"))
+        caller.on_statement("2", read_statement("READ a"))
         await asyncio.sleep(0.5)
         assert [reply.refusal for reply in link.replies] == [None, Refusal.UNKNOWN_KEY]
         assert link.closed_at is not None
@@ -168,38 +170,38 @@
     run(main())
 
 
-def test_a_statement_that_waits_when_its_key_goes_is_not_run():
-    """Symptom: an upstream runs a statement seconds after its key was withdrawn.
+def test_queued_statement_is_not_run_after_its_key_was_withdrawn():
+    """Guards against a statement that runs seconds after its key was withdrawn.
 
-    Sequence: statements wait for their turns, the key goes meanwhile, their turns come.
-    Cause: the key was looked at when the statement came, and not when it was sent.
+    The key is withdrawn while the statement is queued, so it has to be checked again
+    when the statement is sent.
     """
 
     async def main():
         rig = await keyed_rig()
         group = rig.proxy.groups["db"]
         for item in group.upstreams.values():
-            item.turns.queue.running = item.turns.queue.limit
+            item.admission.queue.running = item.admission.queue.limit
         caller = rig.caller(key="n1")
         waiting = asyncio.create_task(caller.send("READ a"))
         await asyncio.sleep(0.05)
         withdraw(rig)
         for item in group.upstreams.values():
-            for _ in range(item.turns.queue.limit):
-                item.turns.ended(None)
+            for _ in range(item.admission.queue.limit):
+                item.admission.finished(None)
         reply = await waiting
         assert reply.refusal is Refusal.UNKNOWN_KEY
-        assert rig.group.watch.ran == []
+        assert rig.group.observer.ran == []
 
     run(main())
 
 
 @pytest.mark.parametrize("text", ["READ a", "WRITE a 1"])
-def test_an_owner_that_knows_of_the_withdrawal_refuses_for_a_daemon_that_does_not(text):
-    """Symptom: callers go on for as long as the store turns their daemon away.
+def test_owner_refuses_a_withdrawn_key_that_the_callers_daemon_still_accepts(text):
+    """Guards against callers that keep access while the store refuses their daemon.
 
-    Sequence: a key is withdrawn, the owners hear of it, the daemon that took the caller
-    in does not. Cause: only that daemon judged.
+    The owners learn that a key was withdrawn, the caller's daemon does not; so owners
+    have to check the key as well.
     """
 
     async def main():
@@ -208,15 +210,15 @@
         caller = rig.caller(proxy=proxy, key="n1")
         assert (await caller.send(text)).ok
         withdraw(rig, *rig.owners())
-        ran = len(rig.group.watch.ran)
+        ran = len(rig.group.observer.ran)
         assert (await caller.send(text)).refusal is Refusal.UNKNOWN_KEY
-        assert len(rig.group.watch.ran) == ran
+        assert len(rig.group.observer.ran) == ran
         assert caller.session.withdrawn
 
     run(main())
 
 
-def test_an_owner_rolls_back_a_transaction_whose_key_went():
+def test_owner_rolls_back_a_transaction_whose_key_was_withdrawn():
     async def main():
         rig = await owners_rig()
         caller = rig.caller(proxy=rig.others()[0], key="n1")
@@ -230,11 +232,11 @@
     run(main())
 
 
-def test_an_owner_that_is_behind_trusts_who_knows_a_newer_configuration():
-    """Symptom: a caller whose key was just added is refused at random.
+def test_owner_with_an_older_configuration_accepts_a_newer_credential():
+    """Guards against random refusals of a key that was just added.
 
-    Sequence: its daemon has the new configuration, the owner not yet. Cause: the owner
-    judged by its own.
+    The caller's daemon has the new configuration, the owner not yet; the owner must not
+    decide by its older one.
     """
 
     async def main():
@@ -244,12 +246,12 @@
         withdraw(rig, proxy, keys=added)
         caller = rig.caller(proxy=proxy, key="e1")
         assert (await caller.send("READ a")).ok
-        assert rig.group.watch.ran[-1][1] == "east"
+        assert rig.group.observer.ran[-1][1] == "east"
 
     run(main())
 
 
-def test_a_key_that_comes_back_works_again():
+def test_restored_key_works_again():
     async def main():
         rig = await keyed_rig()
         withdraw(rig)
@@ -260,19 +262,19 @@
     run(main())
 
 
-def test_a_key_that_changes_hands_ends_the_sessions_of_its_old_workspace():
+def test_key_moved_to_another_workspace_ends_the_sessions_of_the_old_one():
     async def main():
         rig = await keyed_rig()
         caller = rig.caller(key="n1")
         withdraw(rig, keys={"north": ["n2"], "south": ["s1", "n1"]})
         assert (await caller.send("READ a")).refusal is Refusal.UNKNOWN_KEY
         assert (await rig.caller(key="n1").send("READ a")).ok
-        assert rig.group.watch.ran[-1][1] == "south"
+        assert rig.group.observer.ran[-1][1] == "south"
 
     run(main())
 
 
-def test_sessions_outlive_a_configuration_that_leaves_their_key():
+def test_sessions_survive_a_configuration_that_keeps_their_key():
     async def main():
         rig = await keyed_rig()
         caller = rig.caller(key="n2")
@@ -284,10 +286,10 @@
     run(main())
 
 
-def test_a_workspace_uses_its_connections_again():
+def test_workspace_reuses_its_connections():
     async def main():
         rig = await keyed_rig()
-        dialer = rig.proxy.around.dialer.dialer
+        dialer = rig.proxy.context.dialer.dialer
         caller = rig.caller("primary", key="n1")
         await caller.send("READ a")
         dials = dialer.dials
@@ -298,11 +300,11 @@
     run(main())
 
 
-def test_a_workspace_that_lacks_a_connection_displaces_an_idle_one():
-    """Symptom: with more workspaces than connections the last ones get no answer.
+def test_workspace_without_a_connection_displaces_an_idle_one():
+    """Guards against workspaces without answers when they outnumber the connections.
 
-    Sequence: each workspace calls once; connections to the primary are idle, all of
-    others, and none may be opened beyond the limit. Cause: idle ones were kept.
+    Each workspace calls once. At the connection limit all connections to the primary
+    are idle and belong to other workspaces, so one of them has to be closed.
     """
 
     async def main():
@@ -314,6 +316,6 @@
             assert (await caller.send("READ a")).ok
         pool = rig.proxy.groups["db"].upstreams["u1"].pool
         assert pool.displaced
-        assert pool.opened <= pool.limit + 1
+        assert pool.open_count <= pool.limit + 1
 
     run(main())
