--- a/tests/load.py
+++ b/tests/load.py
@@ -70,7 +70,7 @@
         return daemon not in self.skip
 
     def longest_gap(self, since):
-        """Return the longest time in seconds without an acknowledged write after `since`."""
+        """Return the longest time in seconds without an acknowledged write."""
         times = [since, *(at for at, _, _ in self.acked if at > since)]
         return max(
             (later - earlier for earlier, later in zip(times, times[1:], strict=False)),
