--- a/demo/platform_run.py
+++ b/demo/platform_run.py
@@ -26,21 +26,22 @@
         async with world(folder) as made:
             load = Load(made=made)
             running = asyncio.create_task(load.run())
-            await load.until_kept(200)
-            expect(True, f"{len(load.kept)} writes acknowledged and read back")
+            await load.wait_acknowledged(200)
+            expect(True, f"{len(load.acknowledged)} writes acknowledged and read back")
             made.crash("u1")
-            await load.until_kept(200)
+            await load.wait_acknowledged(200)
             leader = made.group.leader.id
             expect(leader != "u1", f"the primary was killed, {leader} leads")
             code = await made.stop("d0")
-            await load.until_kept(100)
+            await load.wait_acknowledged(100)
             expect(code == 0, "a daemon was stopped and left in order")
             load.running = False
             await running
             expect(
-                load.broken() == {}, f"nothing lost, doubled or stale: {load.broken()}"
+                load.violations() == {},
+                f"nothing lost, doubled or stale: {load.violations()}",
             )
-            counts = (len(load.kept), len(load.refused), len(load.unclear))
+            counts = (len(load.acknowledged), len(load.refused), len(load.in_doubt))
             print("kept, refused, unclear:", *counts)
 
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -13,7 +13,7 @@
 from soak.fleet import Fleet, StandInProcess, connect
 from soak.plan import PLANNED, RETURNS, WEIGHTS, draw
 from soak.troubles import Troubles
-from tests.standins.platformworld import CONNECTIONS, says_ready
+from tests.standins.platformworld import CONNECTIONS, probe_ready
 
 # Callers for each daemon: more than its connections to a member.
 CALLERS_EACH = 3
@@ -84,7 +84,7 @@
         await fleet.start(daemons, await standins.start())
         if returns:
             await standins.do("keep_copies")
-        await until_ready(fleet)
+        await wait_ready(fleet)
         rng = Random(f"{seed}:configs")
         configs = Configs(fleet=fleet, standins=standins, book=book, rng=rng)
         await play(seed, steps, seconds, fleet, standins, book, stats, configs)
@@ -104,11 +104,11 @@
     )
 
 
-async def until_ready(fleet):
+async def wait_ready(fleet):
     """Wait until all daemons take callers."""
     async with asyncio.timeout(START_LIMIT):
         for daemon in fleet.daemons.values():
-            while not await says_ready(daemon.probes):
+            while not await probe_ready(daemon.probes):
                 await asyncio.sleep(0.1)
 
 
--- a/tests/platform/test_caller_protocol.py
+++ b/tests/platform/test_caller_protocol.py
@@ -1,4 +1,4 @@
-"""Callers' bytes: every message gets one whole answer, nothing unasked is run."""
+"""Callers' connections: each message gets one complete reply, and nothing else runs."""
 
 import asyncio
 
@@ -11,45 +11,45 @@
 
 
 class FakeTransport:
-    """Keeps what was written."""
+    """Records what was written."""
 
     def __init__(self):
         self.written = b""
         self.closed = False
 
     def write(self, data):
-        """Bytes to the caller."""
+        """Record bytes sent to the caller."""
         assert not self.closed
         self.written += data
 
     def close(self):
-        """The connection is closed from our side."""
+        """Record that the connection was closed by the proxy."""
         self.closed = True
 
     def is_closing(self):
-        """Tell whether it was closed."""
+        """Return whether it was closed."""
         return self.closed
 
     def get_extra_info(self, name):
-        """The socket, which takes any option."""
+        """A socket that accepts any option."""
         return self
 
     def setsockopt(self, *args):
-        """Any option."""
+        """Accept any option."""
 
     def pause_reading(self):
-        """Read no further."""
+        """Do nothing."""
 
     def resume_reading(self):
-        """Read on."""
+        """Do nothing."""
 
     @property
     def lines(self):
-        """What was written, line by line."""
+        """The written lines."""
         return self.written.decode("latin-1").split("\r\n")[:-1]
 
 
-async def talk(rig, chunks, wait=0.5):
+async def converse(rig, chunks, wait=0.5):
     """Send chunks of bytes; returns the transport."""
     conn, transport = CallerProtocol(proxy=rig.proxy), FakeTransport()
     conn.connection_made(transport)
@@ -61,12 +61,12 @@
 
 
 def lines_of(chunks, wait=0.5):
-    """Run one conversation; the lines that came back, and the rig."""
+    """Run one conversation; returns the transport and the rig."""
 
     async def main():
         rig = Rig()
         await rig.settle()
-        transport = await talk(rig, chunks, wait)
+        transport = await converse(rig, chunks, wait)
         return transport, rig
 
     return run(main())
@@ -90,17 +90,17 @@
     transport, rig = lines_of([b"STARTUP nobody u\r\n"])
     assert transport.lines == ["ERROR UNKNOWNDB nobody"]
     assert transport.closed
-    told = [fields for _, _, event, fields in rig.lines if event == "no route"]
-    assert told == [{"database": "nobody", "version": 1, "version_age_ms": 0}]
+    logged = [fields for _, _, event, fields in rig.lines if event == "no route"]
+    assert logged == [{"database": "nobody", "version": 1, "version_age_ms": 0}]
 
 
-def test_a_statement_before_the_opening_is_refused():
+def test_a_statement_before_startup_is_refused():
     transport, rig = lines_of([b"QUERY 1 WRITE a x\r\n"])
     assert transport.lines[0].startswith("ERROR MALFORMED")
     assert transport.closed and rig.group.commits == 0
 
 
-def test_unknown_words_end_the_session():
+def test_unknown_messages_end_the_session():
     transport, _ = lines_of([b"STARTUP own u\r\nHELLO\r\n"])
     assert transport.lines[-1].startswith("ERROR MALFORMED")
     assert transport.closed
@@ -129,18 +129,18 @@
     assert transport.closed
 
 
-def test_a_second_opening_ends_the_session():
+def test_a_second_startup_ends_the_session():
     transport, _ = lines_of([b"STARTUP own u\r\nSTARTUP own u\r\n"])
     assert transport.lines[-1].startswith("ERROR MALFORMED")
 
 
-def test_goodbye_closes():
+def test_terminate_closes_the_connection():
     transport, _ = lines_of([b"STARTUP own u\r\nTERMINATE\r\n"])
     assert transport.lines == ["READY I -"]
     assert transport.closed
 
 
-def test_before_the_first_configuration_callers_wait_a_moment():
+def test_before_the_first_configuration_callers_wait():
     async def main():
         rig = Rig()
         await rig.settle()
@@ -156,7 +156,7 @@
     run(main())
 
 
-WORDS = st.sampled_from(
+MESSAGES = st.sampled_from(
     [
         b"STARTUP own u",
         b"QUERY 1 BEGIN",
@@ -179,9 +179,9 @@
 )
 
 
-@given(st.lists(WORDS, max_size=12), st.integers(1, 50))
+@given(st.lists(MESSAGES, max_size=12), st.integers(1, 50))
 @settings(max_examples=60)
-def test_any_talk_gets_at_most_one_answer_a_message(messages, size):
+def test_any_messages_get_at_most_one_reply_each(messages, size):
     stream = b"".join(item + b"\r\n" for item in [b"STARTUP own u", *messages])
     chunks = [stream[i : i + size] for i in range(0, len(stream), size)]
     transport, rig = lines_of(chunks, wait=3.0)
--- a/tests/platform/test_codec.py
+++ b/tests/platform/test_codec.py
@@ -1,4 +1,4 @@
-"""The wire's lines: whole, split, broken, too long."""
+"""Lines of the wire protocol: complete, split, malformed, too long."""
 
 import pytest
 from hypothesis import given
@@ -39,7 +39,7 @@
     assert sent == b"QUERY id SYNCTO 3.7 READ x\r\n"
 
 
-def test_our_own_statements_carry_no_id():
+def test_the_proxys_own_statements_have_no_id():
     assert encode_query(ROLLBACK, "", None) == b"QUERY - ROLLBACK\r\n"
 
 
@@ -68,18 +68,18 @@
         "SYNCTO 1.1 READ x",
     ],
 )
-def test_what_is_no_statement_of_a_caller_is_refused(text):
+def test_an_invalid_statement_is_refused(text):
     with pytest.raises(MalformedLine):
         read_statement(text)
 
 
-def test_prepared_statements_know_whether_they_write():
+def test_prepared_statements_have_their_access():
     assert read_statement("PREPARE s WRITE q").writes
     assert not read_statement("PREPARE s READ q").writes
 
 
 @given(st.lists(st.binary(max_size=40)), st.lists(st.integers(1, 30)))
-def test_lines_come_out_whole_however_they_are_split(lines, cuts):
+def test_lines_are_complete_however_the_stream_is_split(lines, cuts):
     lines = [item.replace(b"\r", b".").replace(b"\n", b".") for item in lines]
     stream = b"".join(item + b"\r\n" for item in lines)
     splitter, got, place = LineSplitter(), [], 0
@@ -91,7 +91,7 @@
 
 
 @given(st.text(max_size=60))
-def test_any_text_is_a_statement_or_refused(text):
+def test_any_text_is_parsed_or_refused(text):
     try:
         statement = read_statement(text)
     except MalformedLine:
@@ -99,18 +99,18 @@
     assert isinstance(statement, Statement)
 
 
-def test_a_message_over_the_limit_is_refused_before_its_end_comes():
+def test_a_message_over_the_limit_is_refused_before_its_end_arrives():
     splitter = LineSplitter(limit=10)
     with pytest.raises(LineTooLong):
         list(splitter.feed(b"x" * 11))
 
 
-def test_a_message_at_the_limit_is_taken():
+def test_a_message_at_the_limit_is_accepted():
     assert list(LineSplitter(limit=10).feed(b"x" * 10 + b"\r\n")) == ["x" * 10]
 
 
 @pytest.mark.parametrize("state", list(SessionState))
-def test_a_reply_survives_both_ways(state):
+def test_a_reply_survives_encoding_and_decoding(state):
     reply = Reply(
         rows=("a b", "c"), proof="p", state=state, position=Position(term=1, index=2)
     )
@@ -128,12 +128,12 @@
     assert read_refusal(f"{CODE_BY_REFUSAL[refusal]} why") == (refusal, "why")
 
 
-def test_a_refusal_tells_when_to_come_back_and_stays_on_one_line():
+def test_a_refusal_has_a_retry_time_and_is_one_line():
     sent = error_line(Refusal.BUSY, "not run,\r\nreally", 500)
     assert sent == b"ERROR BUSY not run, really; retry after 500 ms\r\n"
 
 
-def test_an_unknown_code_promises_nothing():
+def test_an_unknown_code_is_a_failure():
     assert read_refusal("NEWCODE text")[0] is Refusal.FAILED
 
 
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the upstreams' entries, decoded."""
+"""Decoding of the operator's configuration and the upstreams' entries."""
 
 import pytest
 from hypothesis import given
@@ -58,7 +58,7 @@
         read_catalog({key: value for key, value in CONFIG.items() if key != name})
 
 
-GOOD = {
+VALID_ENTRY = {
     "service": "group-1",
     "address": "10.0.0.9:8080",
     "zone": "a",
@@ -69,12 +69,12 @@
     "dbRole": "primary",
     "sequence": 4,
 }
-NEEDED = ["service", "address", "zone", "capacity", "state", "dbRole"]
+REQUIRED = ["service", "address", "zone", "capacity", "state", "dbRole"]
 
 
 def entry(**changes):
     """An entry with some fields changed."""
-    spec = {**GOOD, **changes}
+    spec = {**VALID_ENTRY, **changes}
     return StoredObject(name="i-1", revision=9, created=4, spec=spec)
 
 
@@ -85,13 +85,13 @@
     assert member.leads and member.leaving
 
 
-def test_an_upstream_that_starts_again_is_another_member():
+def test_a_restarted_upstream_is_another_member():
     first, second = read_member(entry(born=5)), read_member(entry(born=6))
     assert first.id != second.id
     assert first.stable_name == second.stable_name == "i-1"
 
 
-@pytest.mark.parametrize("name", NEEDED)
+@pytest.mark.parametrize("name", REQUIRED)
 def test_an_entry_that_lacks_a_field_is_unusable(name):
     obj = entry()
     del obj.spec[name]
@@ -126,7 +126,7 @@
         read_member(entry(**{name: value}))
 
 
-ANYTHING = st.recursive(
+ANY_JSON = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
@@ -140,8 +140,8 @@
 )
 
 
-@given(changes=st.dictionaries(st.sampled_from([*NEEDED, "born"]), ANYTHING))
-def test_whatever_is_written_an_entry_is_decoded_or_refused(changes):
+@given(changes=st.dictionaries(st.sampled_from([*REQUIRED, "born"]), ANY_JSON))
+def test_any_entry_is_decoded_or_refused(changes):
     try:
         member = read_member(entry(**changes))
     except ValidationError:
@@ -150,8 +150,8 @@
     assert type(member.born) is int
 
 
-@given(item=ANYTHING)
-def test_whatever_is_listed_an_item_is_an_object_or_left_aside(item):
+@given(item=ANY_JSON)
+def test_any_listed_item_is_an_object_or_ignored(item):
     obj = read_object(item)
     assert obj is None or isinstance(obj.name, str)
     change = read_change({"object": item, "deleted": item})
--- a/tests/platform/test_eras.py
+++ b/tests/platform/test_eras.py
@@ -1,4 +1,4 @@
-"""The era of the store's history, as answers name it."""
+"""The store's era, as its answers name it."""
 
 import pytest
 from tornado.httputil import HTTPHeaders
@@ -30,7 +30,7 @@
     assert eras.current == 4
 
 
-def test_a_rise_is_reported_and_the_first_era_is_not():
+def test_an_increase_is_reported_and_the_first_era_is_not():
     eras, reports = tracker()
     assert [eras.observe(answer(text)) for text in ("3", "3", "4")] == [True] * 3
     assert reports == [("new era", {"era": 4, "before": 3})]
--- a/tests/platform/test_exchange.py
+++ b/tests/platform/test_exchange.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP against peers that answer strangely, late, or not at all."""
+"""HTTP calls to peers with malformed, late or missing answers."""
 
 import asyncio
 
@@ -28,8 +28,8 @@
 )
 
 
-def answers(data, *, closes=True, **options):
-    """What a call makes of bytes that a peer answers, before it closes if it does."""
+def answer_to(data, *, closes=True, **options):
+    """Return the result of a call that a peer answers with the given bytes."""
 
     async def main():
         async def serve(reader, writer):
@@ -56,12 +56,12 @@
 
 
 def test_a_plain_answer():
-    answer = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
+    answer = answer_to(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
     assert (answer.code, answer.body) == (200, b"{}")
 
 
 def test_an_answer_without_a_length_ends_with_the_connection():
-    assert answers(b"HTTP/1.1 200 OK\r\n\r\nhello").body == b"hello"
+    assert answer_to(b"HTTP/1.1 200 OK\r\n\r\nhello").body == b"hello"
 
 
 @pytest.mark.parametrize(
@@ -74,25 +74,25 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_what_is_no_whole_answer_is_an_error(data, caplog):
-    """Symptom: a traceback of a library among log lines that are all JSON.
+def test_an_incomplete_or_malformed_answer_is_an_error(data, caplog):
+    """Guards against a traceback of the HTTP library in a log of JSON lines.
 
-    Sequence: something between us and the store answers with a length that is no
-    number. Cause: it was read before the library had checked it.
+    It was logged if the declared length was not a number, as that was parsed before
+    the library had checked it.
     """
     with pytest.raises(CallFailed):
-        answers(data)
+        answer_to(data)
     assert [item for item in caplog.records if item.exc_info] == []
 
 
-def test_an_answer_that_tells_its_length_is_not_read_if_it_is_too_long():
+def test_an_answer_with_a_declared_length_over_the_limit_is_not_read():
     head = b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n"
     with pytest.raises(AnswerTooLong):
-        answers(head, closes=False, max_bytes=99)
-    assert len(answers(head + b"x" * 100, max_bytes=100).body) == 100
+        answer_to(head, closes=False, max_bytes=99)
+    assert len(answer_to(head + b"x" * 100, max_bytes=100).body) == 100
 
 
-def test_an_address_that_is_none_is_an_error():
+def test_an_invalid_address_is_an_error():
     call = Call(method="GET", address="10.0.0.1:http", path="/", first_byte_timeout=1.0)
     with pytest.raises(CallFailed):
         asyncio.run(exchange(call))
@@ -100,8 +100,8 @@
 
 @given(st.lists(PARTS, max_size=8))
 @settings(max_examples=60)
-def test_whatever_is_answered_it_is_an_answer_or_an_error_of_ours(parts):
+def test_any_bytes_give_an_answer_or_call_failed(parts):
     try:
-        answers(b"".join(parts))
+        answer_to(b"".join(parts))
     except CallFailed:
         return
--- a/tests/platform/test_main.py
+++ b/tests/platform/test_main.py
@@ -13,18 +13,17 @@
 
 @pytest.fixture(autouse=True)
 def keep_handler():
-    """Leave the signal as it was."""
+    """Restore the signal handler."""
     before = signal.getsignal(signal.SIGTERM)
     yield
     signal.signal(signal.SIGTERM, before)
 
 
-def test_a_daemon_that_is_told_to_stop_as_it_starts_ends_in_order(monkeypatch):
-    """Symptom: `EXIT d8 ended with -15 when it was told to`.
+def test_a_daemon_stopped_during_startup_exits_cleanly(monkeypatch):
+    """Guards against exit code -15 of a daemon that is stopped during its imports.
 
-    Sequence: a daemon is restarted, and told to stop while it imports what it needs.
-    Cause: the signal was handled only once all was imported. An exit in the middle of
-    an import is none: `EXIT d8 ended with -11`.
+    The signal was handled only after them. Exiting directly from the handler does not
+    work either: during an import it gave exit code -11.
     """
     program = ModuleType("gypsum_platform.daemon")
 
@@ -46,7 +45,7 @@
     assert SETTINGS_VARIABLE in capsys.readouterr().err
 
 
-def test_a_daemon_that_was_told_to_stop_serves_nobody(tmp_path):
+def test_a_daemon_stopped_before_it_serves_exits(tmp_path):
     path = tmp_path / "settings.json"
     path.write_text(
         json.dumps(
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""Names of the platform stand in its folder only."""
+"""The platform's names are used in its folder only."""
 
 import re
 from pathlib import Path
@@ -11,7 +11,7 @@
 )
 
 
-def test_no_name_of_the_platform_stands_outside_its_folder():
+def test_no_platform_name_is_used_outside_its_folder():
     found = [
         f"{path.relative_to(ROOT)}: {match.group()}"
         for path in sorted((ROOT / "packages").rglob("*.py"))
--- a/tests/platform/test_registrar.py
+++ b/tests/platform/test_registrar.py
@@ -1,4 +1,4 @@
-"""Entries of daemons in the store: written, corrected, removed when one is gone."""
+"""Entries of daemons in the store: written, updated, removed if a daemon is dead."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from gypsum_platform.store import Store
 from gypsum_sessions.daemons.peers import PeerLost
 from gypsum_sessions.daemons.registry import DaemonEntry
-from tests.platform.test_store import RecallDouble
+from tests.platform.test_store import SystemProxyDouble
 from tests.standins.objectstore import ObjectStore
 
 OWN = DaemonEntry(id="d1", domain="a", link="127.0.0.1:5")
@@ -20,31 +20,31 @@
 
     def __init__(self, *, answering=()):
         self.answering = answering
-        self.forgotten = []
+        self.removed = []
 
     async def link(self, name, timeout):
-        """A link, if the daemon answers."""
+        """Return without error if the daemon answers."""
         if name not in self.answering:
             raise PeerLost("no answer", step="dial", peer=name, sent=False)
 
     def remove(self, name):
-        """The daemon is of no interest any more."""
-        self.forgotten.append(name)
+        """Record the removal."""
+        self.removed.append(name)
 
 
 def with_registrar(main, answering=()):
     """Run a test with a registrar over a store of its own."""
 
     async def body():
-        stand_in = ObjectStore()
-        client = Store(address=stand_in.listen())
-        proxy = RecallDouble()
+        object_store = ObjectStore()
+        client = Store(address=object_store.listen())
+        proxy = SystemProxyDouble()
         proxy.peers = PeersDouble(answering=answering)
         handler = SystemObjectHandler(proxy=proxy, own_name="d1")
         registrar = Registrar(
             store=client, own=OWN, handler=handler, log=proxy.log, waker=Waker()
         )
-        await main(stand_in, client, registrar, proxy)
+        await main(object_store, client, registrar, proxy)
 
     asyncio.run(body())
 
@@ -56,7 +56,7 @@
 
 
 def test_a_daemon_registers_and_the_first_one_makes_the_key():
-    async def main(stand_in, client, registrar, proxy):
+    async def main(object_store, client, registrar, proxy):
         await registrar.write_entry()
         await registrar.write_key()
         found = await entries(client)
@@ -69,24 +69,24 @@
 
 
 def test_the_entry_of_an_earlier_start_is_corrected():
-    async def main(stand_in, client, registrar, proxy):
-        stand_in.put(SYSTEM_KIND, "daemon.d1", {"domain": "a", "link": "old:1"})
+    async def main(object_store, client, registrar, proxy):
+        object_store.put(SYSTEM_KIND, "daemon.d1", {"domain": "a", "link": "old:1"})
         await registrar.write_entry()
         assert (await entries(client))["daemon.d1"]["link"] == "127.0.0.1:5"
 
     with_registrar(main)
 
 
-async def list_daemon(stand_in, client, registrar, name):
+async def list_daemon(object_store, client, registrar, name):
     """A daemon is registered and listed."""
-    stand_in.put(SYSTEM_KIND, f"daemon.{name}", {"domain": "a", "link": "x:1"})
+    object_store.put(SYSTEM_KIND, f"daemon.{name}", {"domain": "a", "link": "x:1"})
     objects, _ = await client.list_objects(SYSTEM_KIND)
     registrar.handler.on_list(objects)
 
 
 def test_a_daemon_that_does_not_answer_is_removed():
-    async def main(stand_in, client, registrar, proxy):
-        await list_daemon(stand_in, client, registrar, "d2")
+    async def main(object_store, client, registrar, proxy):
+        await list_daemon(object_store, client, registrar, "d2")
         await registrar.remove_if_unreachable("d2")
         assert "daemon.d2" not in await entries(client)
 
@@ -94,14 +94,14 @@
 
 
 def test_a_daemon_that_answers_once_more_is_kept():
-    """Symptom: the owners of all groups change though no daemon is gone.
+    """Guards against owners that change though no daemon is dead.
 
-    Sequence: a daemon was restarting when somebody needed it, and nobody has since.
-    Cause: the time since the failure counted as silence.
+    The time since the last failed connection counted as unreachable, also if nobody
+    had tried again since the daemon restarted.
     """
 
-    async def main(stand_in, client, registrar, proxy):
-        await list_daemon(stand_in, client, registrar, "d2")
+    async def main(object_store, client, registrar, proxy):
+        await list_daemon(object_store, client, registrar, "d2")
         await registrar.remove_if_unreachable("d2")
         assert "daemon.d2" in await entries(client)
 
@@ -109,40 +109,39 @@
 
 
 def test_an_entry_that_has_changed_meanwhile_is_kept():
-    async def main(stand_in, client, registrar, proxy):
-        await list_daemon(stand_in, client, registrar, "d2")
-        stand_in.put(SYSTEM_KIND, "daemon.d2", {"domain": "a", "link": "new:1"})
+    async def main(object_store, client, registrar, proxy):
+        await list_daemon(object_store, client, registrar, "d2")
+        object_store.put(SYSTEM_KIND, "daemon.d2", {"domain": "a", "link": "new:1"})
         await registrar.remove_if_unreachable("d2")
         assert "daemon.d2" in await entries(client)
 
     with_registrar(main)
 
 
-def test_a_daemon_that_comes_back_writes_nothing_that_is_there():
-    """Symptom: after a power loss of all a fleet calls the store twice a daemon more.
+def test_a_restarted_daemon_writes_no_existing_object():
+    """Guards against two needless calls by each daemon after a power loss of all.
 
-    Sequence: each daemon creates its entry and the key of the links, and is told that
-    both are there. Cause: they were written before the list was read.
+    Each created its entry and the link key, which existed, before it read the list.
     """
 
-    async def main(stand_in, client, registrar, proxy):
-        told = []
-        registrar.on_rejoined = lambda: told.append(True)
-        stand_in.put(SYSTEM_KIND, LINK_KEY, {"key": "k"})
+    async def main(object_store, client, registrar, proxy):
+        calls = []
+        registrar.on_rejoined = lambda: calls.append(True)
+        object_store.put(SYSTEM_KIND, LINK_KEY, {"key": "k"})
         entry = {"domain": OWN.domain, "link": OWN.link}
-        stand_in.put(SYSTEM_KIND, "daemon.d1", entry)
+        object_store.put(SYSTEM_KIND, "daemon.d1", entry)
         running = asyncio.create_task(registrar.run())
-        await list_daemon(stand_in, client, registrar, "d2")
+        await list_daemon(object_store, client, registrar, "d2")
         await asyncio.sleep(1.2)
         running.cancel()
-        assert [method for method, _ in stand_in.calls if method != "GET"] == []
-        assert told
+        assert [method for method, _ in object_store.calls if method != "GET"] == []
+        assert calls
 
     with_registrar(main)
 
 
-def test_a_daemon_registers_though_no_list_comes():
-    async def main(stand_in, client, registrar, proxy):
+def test_a_daemon_registers_without_a_list():
+    async def main(object_store, client, registrar, proxy):
         running = asyncio.create_task(registrar.run())
         await asyncio.sleep(1.2)
         running.cancel()
@@ -151,47 +150,47 @@
     with_registrar(main)
 
 
-def test_the_first_list_tells_a_daemon_that_it_was_there_before():
-    """Symptom: after an outage of the store a restarted owner leaves its groups alone.
+def test_the_first_list_shows_that_a_daemon_has_rejoined():
+    """Guards against a restarted owner that does not serve its groups in time.
 
-    Sequence: it starts while the store is down; the list comes when that is back, and
-    the registrar asks again only a second later. Cause: only the registrar looked.
+    If it starts during an outage of the store, the list arrives up to a second before
+    the registrar's next call, and only the registrar checked for an earlier entry.
     """
 
-    async def main(stand_in, client, registrar, proxy):
-        told, handler = [], registrar.handler
-        handler.on_rejoined = lambda: told.append(True)
-        await list_daemon(stand_in, client, registrar, "d1")
-        assert told == [True]
+    async def main(object_store, client, registrar, proxy):
+        calls, handler = [], registrar.handler
+        handler.on_rejoined = lambda: calls.append(True)
+        await list_daemon(object_store, client, registrar, "d1")
+        assert calls == [True]
         objects, _ = await client.list_objects(SYSTEM_KIND)
         handler.on_list(objects)
-        assert told == [True]
+        assert calls == [True]
 
     with_registrar(main)
 
 
-def test_a_daemon_that_has_just_registered_was_not_there_before():
-    async def main(stand_in, client, registrar, proxy):
-        told, handler = [], registrar.handler
-        handler.on_rejoined = lambda: told.append(True)
+def test_a_newly_registered_daemon_has_not_rejoined():
+    async def main(object_store, client, registrar, proxy):
+        calls, handler = [], registrar.handler
+        handler.on_rejoined = lambda: calls.append(True)
         await registrar.write_entry()
         objects, _ = await client.list_objects(SYSTEM_KIND)
         handler.on_list(objects)
-        assert told == []
+        assert calls == []
 
     with_registrar(main)
 
 
-def test_an_entry_and_a_key_that_the_store_lost_are_written_again():
-    """Guards against a daemon that nobody finds after the store has returned."""
+def test_an_entry_and_a_key_that_the_store_lost_are_rewritten():
+    """Guards against a daemon unknown to others after the store was restored."""
 
-    async def main(stand_in, client, registrar, proxy):
-        empty = stand_in.copy()
+    async def main(object_store, client, registrar, proxy):
+        empty = object_store.copy()
         running = asyncio.create_task(registrar.run())
         await asyncio.sleep(1.2)
-        await list_daemon(stand_in, client, registrar, "d2")
+        await list_daemon(object_store, client, registrar, "d2")
         key = registrar.handler.key
-        stand_in.return_from(empty)
+        object_store.return_from(empty)
         objects, _ = await client.list_objects(SYSTEM_KIND)
         registrar.handler.on_list(objects)
         await asyncio.sleep(1.0)
--- a/tests/platform/test_reload.py
+++ b/tests/platform/test_reload.py
@@ -24,7 +24,7 @@
     return daemon, lines
 
 
-def test_bounds_and_the_stores_address_change_while_it_runs(tmp_path):
+def test_limits_and_the_store_address_are_reloaded(tmp_path):
     path = tmp_path / "settings.json"
     daemon, lines = make_daemon(path)
     changes = {"store": "127.0.0.1:9", "upstream_drain_seconds": 9.0}
@@ -35,7 +35,7 @@
     assert lines[-1][1]["changed"] == ["store", "upstream_drain_seconds"]
 
 
-def test_what_takes_a_restart_is_named_and_stays(tmp_path):
+def test_settings_that_need_a_restart_are_logged_and_kept(tmp_path):
     path = tmp_path / "settings.json"
     daemon, lines = make_daemon(path)
     path.write_text(json.dumps({**SETTINGS, "callers": "127.0.0.1:9"}))
--- a/tests/platform/test_returned_store.py
+++ b/tests/platform/test_returned_store.py
@@ -1,4 +1,4 @@
-"""The store's client while the store returns from an older copy."""
+"""The store's client while the store is restored from an older copy."""
 
 import asyncio
 
@@ -18,24 +18,24 @@
     """Run a test against a store of its own that has eras."""
 
     async def body():
-        stand_in = ObjectStore()
-        stand_in.era = 1
-        await main(stand_in, Store(address=stand_in.listen()))
+        object_store = ObjectStore()
+        object_store.era = 1
+        await main(object_store, Store(address=object_store.listen()))
 
     asyncio.run(body())
 
 
-def test_a_watch_from_a_lost_history_is_told_so_whatever_the_new_one_has():
-    """Guards against changes that are missed below a revision of the lost history."""
+def test_a_watch_from_a_lost_era_fails():
+    """Guards against missed changes with revisions below one of the lost era."""
 
-    async def main(stand_in, client):
-        stand_in.put(KIND, "a", {"x": 1})
-        copy = stand_in.copy()
-        stand_in.put(KIND, "a", {"x": 2})
+    async def main(object_store, client):
+        object_store.put(KIND, "a", {"x": 1})
+        copy = object_store.copy()
+        object_store.put(KIND, "a", {"x": 2})
         _, known = await client.list_objects(KIND)
-        stand_in.return_from(copy)
+        object_store.return_from(copy)
         for number in range(5):
-            stand_in.put(KIND, f"n{number}", {})
+            object_store.put(KIND, f"n{number}", {})
         with pytest.raises(HistoryGone):
             await client.watch(KIND, known, wait_ms=0)
         objects, revision = await client.list_objects(KIND)
@@ -46,52 +46,52 @@
     with_store(main)
 
 
-def test_a_watch_that_hangs_through_the_return_is_told_so():
-    """Guards against changes of a new history that are taken for the old one's."""
+def test_a_watch_pending_during_the_restore_fails():
+    """Guards against changes of the new era that count as of the old one."""
 
-    async def main(stand_in, client):
-        stand_in.put(KIND, "a", {})
-        copy = stand_in.copy()
+    async def main(object_store, client):
+        object_store.put(KIND, "a", {})
+        copy = object_store.copy()
         for number in range(3):
-            stand_in.put(KIND, f"lost{number}", {})
+            object_store.put(KIND, f"lost{number}", {})
         _, known = await client.list_objects(KIND)
         watch = asyncio.create_task(client.watch(KIND, known, wait_ms=3000))
         await asyncio.sleep(0.1)
-        stand_in.return_from(copy)
+        object_store.return_from(copy)
         for number in range(4):
-            stand_in.put(KIND, f"n{number}", {})
+            object_store.put(KIND, f"n{number}", {})
         with pytest.raises(HistoryGone):
             await watch
 
     with_store(main)
 
 
-def test_a_condition_on_a_revision_of_a_lost_history_never_holds():
-    """Guards against a write over another state that has the same revision."""
+def test_a_condition_on_a_revision_of_a_lost_era_fails():
+    """Guards against overwriting another state with the same revision number."""
 
-    async def main(stand_in, client):
-        copy = stand_in.copy()
+    async def main(object_store, client):
+        copy = object_store.copy()
         made = await client.create(KIND, "a", {"by": "us"})
-        stand_in.return_from(copy)
-        stand_in.put(KIND, "a", {"by": "others"})
+        object_store.return_from(copy)
+        object_store.put(KIND, "a", {"by": "others"})
         await client.list_objects(KIND)
         with pytest.raises(Conflict):
             await client.replace(KIND, "a", {"by": "us"}, revision=made.revision)
         with pytest.raises(Conflict):
             await client.delete(KIND, "a", revision=made.revision)
-        assert stand_in.kinds[KIND]["a"]["spec"] == {"by": "others"}
+        assert object_store.kinds[KIND]["a"]["spec"] == {"by": "others"}
 
     with_store(main)
 
 
-def test_a_conditional_write_that_meets_the_return_is_no_success():
-    """Guards against a write that counts as done on a state nobody has looked at."""
+def test_a_conditional_write_across_a_restore_fails():
+    """Guards against a successful write over a state that was never read."""
 
-    async def main(stand_in, client):
-        copy = stand_in.copy()
+    async def main(object_store, client):
+        copy = object_store.copy()
         made = await client.create(KIND, "a", {"by": "us"})
-        stand_in.return_from(copy)
-        stand_in.put(KIND, "a", {"by": "others"})
+        object_store.return_from(copy)
+        object_store.put(KIND, "a", {"by": "others"})
         with pytest.raises(StoreError):
             await client.replace(KIND, "a", {"by": "us"}, revision=made.revision)
 
@@ -99,14 +99,14 @@
 
 
 @pytest.mark.parametrize("era", [1, 0])
-def test_an_answer_of_an_earlier_era_or_without_one_is_not_taken(era):
-    """Guards against a late answer that brings back what was lost."""
+def test_an_answer_of_an_earlier_era_or_without_one_is_rejected(era):
+    """Guards against a late answer that restores a lost state."""
 
-    async def main(stand_in, client):
-        stand_in.era = 2
-        stand_in.put(KIND, "a", {})
+    async def main(object_store, client):
+        object_store.era = 2
+        object_store.put(KIND, "a", {})
         _, known = await client.list_objects(KIND)
-        stand_in.era = era
+        object_store.era = era
         for call in (
             client.list_objects(KIND),
             client.get_object(KIND, "a"),
@@ -115,22 +115,22 @@
         ):
             with pytest.raises(StoreError):
                 await call
-        stand_in.era = 2
+        object_store.era = 2
         assert (await client.list_objects(KIND))[1] >= known
 
     with_store(main)
 
 
 def test_an_era_that_a_revision_shows_counts_before_the_store_names_it():
-    """Guards against a list of the old history after news of the new one."""
+    """Guards against a list of the old era after updates of the new one."""
 
-    async def main(stand_in, client):
-        stand_in.put(KIND, "a", {})
+    async def main(object_store, client):
+        object_store.put(KIND, "a", {})
         await client.list_objects(KIND)
-        stand_in.era = 2
+        object_store.era = 2
         other = Store(address=client.address)
         _, known = await other.list_objects(KIND)
-        stand_in.era = 1
+        object_store.era = 1
         with pytest.raises(StoreError):
             await client.watch(KIND, known, wait_ms=0)
         with pytest.raises(StoreError):
@@ -139,14 +139,14 @@
     with_store(main)
 
 
-def test_a_token_of_a_lost_lease_is_never_given_out_again():
+def test_a_token_of_a_lost_lease_is_not_reused():
     """Guards against two daemons that promote under the same fencing token."""
 
-    async def main(stand_in, client):
+    async def main(object_store, client):
         leases = StoreLeases(store=client)
-        copy = stand_in.copy()
+        copy = object_store.copy()
         lost = await leases.acquire("g", "d1", await leases.read("g"))
-        stand_in.return_from(copy)
+        object_store.return_from(copy)
         other = StoreLeases(store=Store(address=client.address))
         found = await other.acquire("g", "d2", await other.read("g"))
         assert found.token > lost.token
@@ -156,14 +156,14 @@
     with_store(main)
 
 
-def test_a_lease_that_is_taken_while_the_store_returns_is_nobodys():
-    """Guards against a token that was reckoned in one history and taken in another."""
+def test_a_lease_acquired_across_a_restore_is_not_held():
+    """Guards against a token computed in one era and acquired in another."""
 
-    async def main(stand_in, client):
+    async def main(object_store, client):
         leases = StoreLeases(store=client)
-        copy = stand_in.copy()
+        copy = object_store.copy()
         seen = await leases.read("g")
-        stand_in.return_from(copy)
+        object_store.return_from(copy)
         with pytest.raises(LeaseError):
             await leases.acquire("g", "d1", seen)
         found = await leases.acquire("g", "d1", await leases.read("g"))
@@ -172,16 +172,16 @@
     with_store(main)
 
 
-def test_a_watch_that_waits_ends_once_another_call_has_met_the_new_era():
-    """Guards against seconds in which a quiet kind is known by the lost history."""
+def test_a_pending_watch_ends_once_another_call_sees_the_new_era():
+    """Guards against a rarely changed kind that stays at the lost era for seconds."""
 
-    async def main(stand_in, client):
-        stand_in.put(KIND, "a", {})
-        copy = stand_in.copy()
+    async def main(object_store, client):
+        object_store.put(KIND, "a", {})
+        copy = object_store.copy()
         _, known = await client.list_objects(KIND)
         watch = asyncio.create_task(client.watch(KIND, known, wait_ms=4000))
         await asyncio.sleep(0.1)
-        stand_in.return_from(copy)
+        object_store.return_from(copy)
         await client.list_objects("other")
         with pytest.raises(HistoryGone):
             async with asyncio.timeout(0.5):
@@ -201,8 +201,8 @@
         return [], self.revision
 
 
-def test_a_list_of_an_earlier_era_than_the_news_is_not_taken():
-    """Guards against a late list that brings a lost history back."""
+def test_a_list_of_an_earlier_era_than_the_updates_is_rejected():
+    """Guards against a late list that restores a lost state."""
     taken = []
     feed = Feed(
         store=ListDouble(make_revision(1, 99)),
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -38,14 +38,14 @@
     """Run a test against a store of its own."""
 
     async def body():
-        stand_in = ObjectStore()
-        await main(stand_in, Store(address=stand_in.listen()))
+        object_store = ObjectStore()
+        await main(object_store, Store(address=object_store.listen()))
 
     asyncio.run(body())
 
 
 def test_objects_are_created_replaced_on_condition_and_deleted():
-    async def main(stand_in, client):
+    async def main(object_store, client):
         made = await client.create("kind", "a", {"x": 1})
         with pytest.raises(Conflict):
             await client.create("kind", "a", {"x": 2})
@@ -61,9 +61,9 @@
 
 
 def test_long_lists_come_in_parts():
-    async def main(stand_in, client):
+    async def main(object_store, client):
         for number in range(1201):
-            stand_in.put("kind", f"n{number:05}", {})
+            object_store.put("kind", f"n{number:05}", {})
         objects, revision = await client.list_objects("kind")
         assert len(objects) == 1201 and revision == 1201
 
@@ -77,16 +77,16 @@
     the last one is read. Cause: the watch went on from the last part's revision.
     """
 
-    async def main(stand_in, client):
+    async def main(object_store, client):
         for number in range(700):
-            stand_in.put("kind", f"n{number:05}", {})
+            object_store.put("kind", f"n{number:05}", {})
         call, parts = client.call, []
 
         async def change_after_the_first(*args, **options):
             body = await call(*args, **options)
             parts.append(body)
             if len(parts) == 1:
-                stand_in.put("kind", "n00001", {"changed": True})
+                object_store.put("kind", "n00001", {"changed": True})
             return body
 
         client.call = change_after_the_first
@@ -100,14 +100,14 @@
 
 
 def test_a_watch_tells_changes_and_deletions():
-    async def main(stand_in, client):
+    async def main(object_store, client):
         _, revision = await client.list_objects("kind")
         watching = asyncio.create_task(client.watch("kind", revision))
         await asyncio.sleep(0.05)
-        stand_in.put("kind", "a", {"x": 1})
+        object_store.put("kind", "a", {"x": 1})
         changes, revision = await watching
         assert [change.obj.name for change in changes] == ["a"]
-        stand_in.remove("kind", "a")
+        object_store.remove("kind", "a")
         changes, _ = await client.watch("kind", revision)
         assert changes[0].deleted
 
@@ -115,9 +115,9 @@
 
 
 def test_a_forgotten_history_is_told():
-    async def main(stand_in, client):
-        stand_in.put("kind", "a", {})
-        stand_in.forget_history()
+    async def main(object_store, client):
+        object_store.put("kind", "a", {})
+        object_store.forget_history()
         with pytest.raises(HistoryGone):
             await client.watch("kind", 0)
 
@@ -126,8 +126,8 @@
 
 @pytest.mark.parametrize("status", [429, 503])
 def test_a_refusal_says_that_nothing_was_done(status):
-    async def main(stand_in, client):
-        stand_in.refuse = status
+    async def main(object_store, client):
+        object_store.refuse = status
         with pytest.raises(StoreError) as caught:
             await client.create("kind", "a", {})
         assert not caught.value.may_be_executed
@@ -144,8 +144,8 @@
     """
     monkeypatch.setattr(store_module, "WATCH_MARGIN", 0.2)
 
-    async def main(stand_in, client):
-        stand_in.silent = True
+    async def main(object_store, client):
+        object_store.silent = True
         with pytest.raises(StoreError):
             await client.watch("kind", 0, wait_ms=50)
 
@@ -190,15 +190,15 @@
         return self
 
 
-class RecallDouble(ProxyDouble):
-    """Keeps what was recalled of the groups' members."""
+class SystemProxyDouble(ProxyDouble):
+    """Keeps what was recorded_members of the groups' members."""
 
     def __init__(self):
         super().__init__()
         self.daemons = DaemonsDouble()
         self.lease_view = LeaseView(clock=time.monotonic, takeover_window=4.0)
         self.recorder = MemberRecorder(records=None, log=self.log)
-        self.recalled = {}
+        self.recorded_members = {}
 
     def update_daemons(self, entries):
         """The daemons that are registered."""
@@ -206,7 +206,7 @@
 
     def add_recorded_members(self, group, members):
         """A record found at the start."""
-        self.recalled[group] = members
+        self.recorded_members[group] = members
 
 
 def config(version):
@@ -232,8 +232,8 @@
     return {**spec, **changes}
 
 
-async def until(condition):
-    """Wait until a condition holds; pytest's own timeout would end a hang."""
+async def wait_until(condition):
+    """Wait wait_until a condition holds; pytest's own timeout would end a hang."""
     for _ in range(2000):
         if condition():
             return
@@ -242,10 +242,10 @@
 
 
 def test_a_feed_lives_through_outages_and_lost_history():
-    async def main(stand_in, client):
+    async def main(object_store, client):
         proxy = ProxyDouble()
         handler = ConfigHandler(proxy=proxy)
-        stand_in.put("config", "main", config(1))
+        object_store.put("config", "main", config(1))
         feed = Feed(
             store=client,
             kind="config",
@@ -255,21 +255,23 @@
             waker=Waker(),
         )
         task = asyncio.create_task(feed.run())
-        await until(lambda: proxy.versions == [1])
-        stand_in.refuse = 503
-        stand_in.put("config", "main", config(4))
-        await until(lambda: ("store", "lost") in proxy.lines or 4 in proxy.versions)
-        stand_in.forget_history()
-        stand_in.refuse = 0
-        stand_in.put("config", "main", config(9))
-        await until(lambda: proxy.versions and proxy.versions[-1] == 9)
+        await wait_until(lambda: proxy.versions == [1])
+        object_store.refuse = 503
+        object_store.put("config", "main", config(4))
+        await wait_until(
+            lambda: ("store", "lost") in proxy.lines or 4 in proxy.versions
+        )
+        object_store.forget_history()
+        object_store.refuse = 0
+        object_store.put("config", "main", config(9))
+        await wait_until(lambda: proxy.versions and proxy.versions[-1] == 9)
         task.cancel()
 
     with_store(main)
 
 
 def test_a_feed_tells_how_far_it_has_taken_all_in():
-    async def main(stand_in, client):
+    async def main(object_store, client):
         told = []
         feed = Feed(
             store=client,
@@ -298,7 +300,7 @@
     """
 
     class Switched:
-        """A store that is away until told otherwise; counts the calls."""
+        """A store that is away wait_until told otherwise; counts the calls."""
 
         def __init__(self):
             self.away = True
@@ -330,9 +332,9 @@
         ]
         feeds[0].retry_backoff, feeds[1].retry_backoff = 0.05, 500.0
         tasks = [asyncio.create_task(feed.run()) for feed in feeds]
-        await until(lambda: store.calls["second"] == 1)
+        await wait_until(lambda: store.calls["second"] == 1)
         store.away = False
-        await until(lambda: proxy.lines.count(("store", "regained")) == 2)
+        await wait_until(lambda: proxy.lines.count(("store", "regained")) == 2)
         assert store.calls["second"] == 2
         for task in tasks:
             task.cancel()
@@ -355,7 +357,7 @@
 
 
 def test_leases_are_taken_once_by_one():
-    async def main(stand_in, client):
+    async def main(object_store, client):
         leases = StoreLeases(store=client)
         seen = await leases.read("g")
         assert (seen.holder, seen.token) == ("", 0)
@@ -369,39 +371,39 @@
 
 
 def test_members_are_recorded_and_recalled_at_the_start_only():
-    async def main(stand_in, client):
+    async def main(object_store, client):
         records = StoreRecords(store=client, kind="gypsumhitch")
         member = Member(id="u", group="g", address="x:1", domain="a", slots=5, joined=3)
         await records.save("g", [member])
         await records.save("g", [member, replace(member, id="v")])
         objects, _ = await client.list_objects("gypsumhitch")
-        proxy = RecallDouble()
+        proxy = SystemProxyDouble()
         handler = SystemObjectHandler(proxy=proxy, own_name="d")
         handler.on_list(objects)
-        assert [item.id for item in proxy.recalled["g"]] == ["u", "v"]
-        assert proxy.recalled["g"][0] == member
-        proxy.recalled.clear()
+        assert [item.id for item in proxy.recorded_members["g"]] == ["u", "v"]
+        assert proxy.recorded_members["g"][0] == member
+        proxy.recorded_members.clear()
         handler.on_list(objects)
-        assert proxy.recalled == {}
+        assert proxy.recorded_members == {}
         assert proxy.recorder.recorded["g"] == {("u", "x:1"), ("v", "x:1")}
 
     with_store(main)
 
 
 def test_an_unusable_record_is_left_aside():
-    proxy = RecallDouble()
+    proxy = SystemProxyDouble()
     handler = SystemObjectHandler(proxy=proxy, own_name="d")
     spec = {"members": [{"id": "u"}]}
     handler.on_list([StoredObject(name="members.g", revision=1, spec=spec)])
     handler.on_list([StoredObject(name="members.g", revision=1, spec={})])
-    assert proxy.recalled == {}
+    assert proxy.recorded_members == {}
     assert proxy.lines == [("store", "unusable record")] * 2
 
 
 def test_an_unanswered_take_is_an_error_not_a_lease():
-    async def main(stand_in, client):
+    async def main(object_store, client):
         leases = StoreLeases(store=client)
-        stand_in.lose = 1
+        object_store.lose = 1
         with pytest.raises(LeaseError):
             await leases.acquire("g", "d1", await leases.read("g"))
         assert (await leases.read("g")).holder == "d1"
@@ -410,18 +412,18 @@
 
 
 def test_promotions_are_ordered_with_holder_and_token():
-    async def main(stand_in, client):
+    async def main(object_store, client):
         orders = []
 
         def promote(group, upstream, token):
             orders.append((group, upstream, token))
             return token > 1
 
-        stand_in.promote = promote
+        object_store.promote = promote
         promoter = PlatformPromoter(address=client.address)
         assert await promoter.promote("g", "u", "d", 1) is PromoteOutcome.REFUSED
         assert await promoter.promote("g", "u", "d", 2) is PromoteOutcome.ACCEPTED
-        stand_in.refuse = 503
+        object_store.refuse = 503
         assert await promoter.promote("g", "u", "d", 3) is PromoteOutcome.NOT_DONE
         assert orders == [("g", "u", 1), ("g", "u", 2)]
 
@@ -461,7 +463,7 @@
         )
         feed.revision = 1
         task = asyncio.create_task(feed.run())
-        await until(lambda: len(store.waits) >= 3)
+        await wait_until(lambda: len(store.waits) >= 3)
         task.cancel()
         assert store.waits[0] == store.waits[2] == store_module.WATCH_MS
         assert store.waits[1] == store_module.SHORT_WATCH_MS
@@ -533,11 +535,11 @@
     assert proxy.lines.count(("store", "unusable entry")) == 1
 
 
-class FollowingDouble:
-    """Hands out news that were given by hand, then says that nobody vouches."""
+class FollowerDouble:
+    """Hands out update that were given by hand, then says that nobody vouches."""
 
-    def __init__(self, *news):
-        self.waiting = list(news)
+    def __init__(self, *update):
+        self.waiting = list(update)
         self.known = []
         self.daemons = self
 
@@ -550,7 +552,7 @@
         return True
 
     def has_updates(self, kind):
-        """Tell whether there are news."""
+        """Tell whether there are update."""
         return bool(self.waiting)
 
     def is_up_to_date(self, kind):
@@ -561,8 +563,8 @@
         """Tell whether the watcher knows more."""
         return False
 
-    async def next_update(self, kind, until):
-        """The next news."""
+    async def next_update(self, kind, wait_until):
+        """The next update."""
         return self.waiting.pop(0) if self.waiting else None
 
     def set_known_revision(self, kind, revision):
@@ -577,7 +579,7 @@
 
 
 def test_news_that_were_passed_on_are_taken_like_those_of_the_store():
-    def news(revision, names=(), removed=(), whole=False):
+    def update(revision, names=(), removed=(), whole=False):
         changed = {
             name: {"name": name, "revision": revision, "spec": {}, "created": 1}
             for name in names
@@ -590,11 +592,11 @@
             whole=whole,
         )
 
-    async def main(stand_in, client):
-        stand_in.put("k", "a", {})
+    async def main(object_store, client):
+        object_store.put("k", "a", {})
         lists, changes = [], []
-        follower = FollowingDouble(
-            news(5, ["b"]), news(6, removed=("a",)), news(9, ["c"], whole=True)
+        follower = FollowerDouble(
+            update(5, ["b"]), update(6, removed=("a",)), update(9, ["c"], whole=True)
         )
         feed = Feed(
             store=client,
@@ -606,7 +608,7 @@
             follower=follower,
         )
         task = asyncio.create_task(feed.run())
-        await until(lambda: len(lists) == 2)
+        await wait_until(lambda: len(lists) == 2)
         task.cancel()
         assert lists == [["a"], ["c"]]
         assert changes == [("b", False), ("a", True)]
@@ -652,7 +654,7 @@
 
     for seed in range(20):
         watcher = run(calls_in(30.0, None, seed))
-        follower = run(calls_in(30.0, FollowingDouble(), seed))
+        follower = run(calls_in(30.0, FollowerDouble(), seed))
         assert watcher > 18
         assert follower <= 12
         assert 2 * follower <= watcher
@@ -682,7 +684,7 @@
             obj = StoredObject(name="b", revision=2, spec={})
             return [store_module.Change(obj=obj, deleted=False)], 2
 
-    class Turning(FollowingDouble):
+    class Turning(FollowerDouble):
         """A daemon that becomes a watcher."""
 
         watcher = False
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -12,7 +12,7 @@
 from gypsum_platform.upstream import DEFAULT_CLIENT_NAME, WireConn, WireDialer
 from gypsum_policy.ratelimit import Cap
 from gypsum_sessions.callers.keys import digest_of
-from tests.platform.test_caller_protocol import talk
+from tests.platform.test_caller_protocol import converse
 from tests.platform.test_entries import CONFIG
 from tests.sessions.rig import Rig
 from tests.sessions.vclock import run
@@ -121,11 +121,11 @@
         rig = Rig(keys=KEYS)
         await rig.settle()
         for opening in (b"STARTUP own nope\r\n", b"STARTUP own\r\n"):
-            transport = await talk(rig, [opening])
+            transport = await converse(rig, [opening])
             assert transport.lines[0].startswith("ERROR AUTHFAIL")
             assert "nope" not in transport.written.decode()
             assert transport.closed
-        transport = await talk(rig, [b"STARTUP own n1\r\nQUERY 1 READ a\r\n"])
+        transport = await converse(rig, [b"STARTUP own n1\r\nQUERY 1 READ a\r\n"])
         assert transport.lines[0] == "READY I -"
         assert transport.lines[2].startswith("COMPLETE")
 
@@ -136,7 +136,7 @@
     async def main():
         rig = Rig(keys={"north": ["schlüssel"]})
         await rig.settle()
-        transport = await talk(rig, ["STARTUP own schlüssel\r\n".encode()])
+        transport = await converse(rig, ["STARTUP own schlüssel\r\n".encode()])
         assert transport.lines == ["READY I -"]
 
     run(main())
--- a/tests/standins/platformworld.py
+++ b/tests/standins/platformworld.py
@@ -19,12 +19,12 @@
 GROUP = "shop"
 PROMOTE_TIME = 0.3
 UNLISTED_AFTER = 1.0
-START_TRIES = 600
-TRY_PAUSE = 0.05
+MAX_TRIES = 600
+TRY_INTERVAL = 0.05
 ANSWER_LIMIT = 30.0
 # A daemon that stands still answers no probe: it is not ready, seconds.
 READY_LIMIT = 2.0
-PICKS = count()
+PORT_CALLS = count()
 # Connections that an upstream takes: enough for all daemons to hold some.
 CONNECTIONS = 40
 
@@ -88,7 +88,7 @@
         for number in range(daemons):
             await self.start_daemon(f"d{number}")
         for name in self.daemons:
-            await self.until_ready(name)
+            await self.wait_ready(name)
 
     def list_member(self, member):
         """Write a member's entry."""
@@ -133,17 +133,17 @@
         }
         self.daemons[name] = await start_process(self.folder, settings)
 
-    async def until_ready(self, name):
+    async def wait_ready(self, name):
         """Wait until a daemon says that it is ready."""
-        for _ in range(START_TRIES):
+        for _ in range(MAX_TRIES):
             if await self.is_ready(name):
                 return
-            await asyncio.sleep(TRY_PAUSE)
+            await asyncio.sleep(TRY_INTERVAL)
         raise AssertionError(f"{name} did not get ready")
 
     async def is_ready(self, name):
         """Ask a daemon whether it is ready."""
-        return await says_ready(self.ports[name][1])
+        return await probe_ready(self.ports[name][1])
 
     def crash(self, upstream):
         """An upstream dies; its entry vanishes a moment later."""
@@ -183,7 +183,7 @@
         )
 
 
-async def says_ready(port):
+async def probe_ready(port):
     """Ask the daemon at a port for probes whether it takes callers."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -265,9 +265,9 @@
 
     def __init__(self, *, made):
         self.made = made
-        self.kept = []
+        self.acknowledged = []
         self.refused = []
-        self.unclear = []
+        self.in_doubt = []
         self.stale = []
         self.running = True
 
@@ -287,7 +287,7 @@
             try:
                 client = await Client.connect(port, "own", f"c{number}t{turn}")
             except OSError:
-                await asyncio.sleep(TRY_PAUSE)
+                await asyncio.sleep(TRY_INTERVAL)
                 continue
             try:
                 await self.session(client)
@@ -300,16 +300,16 @@
         """Write and read until the end or the connection's."""
         while self.running:
             data = f"{client.name}x{client.sent}"
-            self.unclear.append(data)
+            self.in_doubt.append(data)
             _, end = await client.query(f"WRITE {client.name} {data}")
             if end == "COMPLETE":
-                self.unclear.remove(data)
-                self.kept.append(data)
+                self.in_doubt.remove(data)
+                self.acknowledged.append(data)
                 await self.read_back(client, data)
             elif end in ("BUSY", "ABORTED"):
-                self.unclear.remove(data)
+                self.in_doubt.remove(data)
                 self.refused.append(data)
-            await asyncio.sleep(TRY_PAUSE / 5)
+            await asyncio.sleep(TRY_INTERVAL / 5)
 
     async def read_back(self, client, data):
         """The session's next read shows its last write."""
@@ -317,31 +317,33 @@
         if end == "COMPLETE" and rows != [data]:
             self.stale.append((data, rows))
 
-    def broken(self):
+    def violations(self):
         """Broken promises: what was lost, run twice, or run though refused."""
         log = [data for entry in self.made.group.leader.log for _, data in entry.writes]
-        lost = [data for data in self.kept if data not in log]
+        lost = [data for data in self.acknowledged if data not in log]
         twice = [data for data in set(log) if log.count(data) > 1]
-        untrue = [data for data in self.refused if data in log]
+        run_though_refused = [data for data in self.refused if data in log]
         return {
             name: found
             for name, found in (
                 ("lost", lost),
                 ("twice", twice),
-                ("refused but run", untrue),
+                ("refused but run", run_though_refused),
                 ("stale", self.stale),
             )
             if found
         }
 
-    async def until_kept(self, more):
+    async def wait_acknowledged(self, more):
         """Wait until so many more writes were acknowledged."""
-        goal = len(self.kept) + more
-        for _ in range(START_TRIES):
-            if len(self.kept) >= goal:
+        goal = len(self.acknowledged) + more
+        for _ in range(MAX_TRIES):
+            if len(self.acknowledged) >= goal:
                 return
-            await asyncio.sleep(TRY_PAUSE)
-        raise AssertionError(f"only {len(self.kept)} of {goal} writes acknowledged")
+            await asyncio.sleep(TRY_INTERVAL)
+        raise AssertionError(
+            f"only {len(self.acknowledged)} of {goal} writes acknowledged"
+        )
 
 
 def free_port():
@@ -358,4 +360,4 @@
 
 def next_port():
     """A starting point that differs between processes and calls."""
-    return 20000 + (os.getpid() * 37 + next(PICKS) * 11) % 11000
+    return 20000 + (os.getpid() * 37 + next(PORT_CALLS) * 11) % 11000
