--- a/soak/run.py
+++ b/soak/run.py
@@ -84,7 +84,7 @@
         await fleet.start(daemons, await standins.start())
         if returns:
             await standins.do("keep_copies")
-        await wait_ready(fleet)
+        await until_ready(fleet)
         rng = Random(f"{seed}:configs")
         configs = Configs(fleet=fleet, standins=standins, book=book, rng=rng)
         await play(seed, steps, seconds, fleet, standins, book, stats, configs)
@@ -104,7 +104,7 @@
     )
 
 
-async def wait_ready(fleet):
+async def until_ready(fleet):
     """Wait until all daemons take callers."""
     async with asyncio.timeout(START_LIMIT):
         for daemon in fleet.daemons.values():
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client against a small store: conditions, watches, faults."""
+"""The store's client and feeds against a stand-in: conditions, watches, faults."""
 
 import asyncio
 import time
@@ -71,10 +71,10 @@
 
 
 def test_a_change_between_two_parts_of_a_list_is_told_by_the_watch():
-    """Symptom: a daemon never learns of a change that all others know.
+    """Guards against a missed change of an object on an earlier page of a list.
 
-    Sequence: a long list is read in parts, an object of the first part changes before
-    the last one is read. Cause: the watch went on from the last part's revision.
+    The watch continued from the revision of the last page, so a change made between two
+    pages was in neither.
     """
 
     async def main(object_store, client):
@@ -137,10 +137,10 @@
 
 
 def test_a_silent_store_is_an_error_of_ours(monkeypatch):
-    """Symptom: the configuration stays old for the rest of the process's life.
+    """Guards against a configuration that is never updated again.
 
-    Sequence: the store is silent, the HTTP client raises its own timeout error, the
-    watch's task ends. Cause: that error is raised even when asked not to.
+    The HTTP client raised its own timeout error, although told not to, and that ended
+    the task of the watch.
     """
     monkeypatch.setattr(store_module, "WATCH_MARGIN", 0.2)
 
@@ -233,7 +233,7 @@
 
 
 async def wait_until(condition):
-    """Wait wait_until a condition holds; pytest's own timeout would end a hang."""
+    """Wait until a condition holds; pytest's own timeout would end a hang."""
     for _ in range(2000):
         if condition():
             return
@@ -293,14 +293,13 @@
 
 
 def test_one_feed_that_has_the_store_back_wakes_the_others():
-    """Symptom: a daemon serves seconds after the store is back.
+    """Guards against a daemon that serves only seconds after the store is back.
 
-    Sequence: the store is away for long, the pauses of all feeds have grown, it comes
-    back. Cause: each feed slept its own pause to the end.
+    After a long outage each feed waited for the end of its own backoff.
     """
 
     class Switched:
-        """A store that is away wait_until told otherwise; counts the calls."""
+        """A store that is unavailable until told otherwise; counts the calls."""
 
         def __init__(self):
             self.away = True
@@ -431,10 +430,10 @@
 
 
 def test_after_a_failure_the_store_is_asked_with_short_waits():
-    """Symptom: a configuration is in force seconds later than it has to be.
+    """Guards against a configuration that takes effect seconds late.
 
-    Sequence: the store is silent for seconds, a new watch is opened meanwhile and
-    swallowed, the store comes back. Cause: the watch is waited for to its end.
+    A long watch that was opened while the store was unresponsive was lost, but was
+    waited for until its end.
     """
 
     class SilentStore:
@@ -489,10 +488,9 @@
 
 
 def test_items_that_cannot_be_read_hide_no_others():
-    """Symptom: after a strange entry no upstream is known any more.
+    """Guards against losing all upstreams because of one malformed entry.
 
-    Sequence: somebody writes an object without a name; the list is read. Cause: one
-    unreadable item ended the whole reading.
+    An object without a name ended the reading of the whole list.
     """
     page = {"items": [listed("a"), {"meta": 3}, None, listed("b")], "storeRevision": 7}
     objects, revision = asyncio.run(PageStore(page).list_objects("servers"))
@@ -563,7 +561,7 @@
         """Tell whether the watcher knows more."""
         return False
 
-    async def next_update(self, kind, wait_until):
+    async def next_update(self, kind, until):
         """The next update."""
         return self.waiting.pop(0) if self.waiting else None
 
@@ -618,10 +616,10 @@
 
 
 def test_followers_leave_a_store_that_is_away_alone():
-    """Symptom: while the store is away the fleet's calls cost as much as its work.
+    """Guards against the cost of a fleet's calls to an unavailable store.
 
-    Sequence: the store refuses every call, no watcher is in touch. Cause: each daemon
-    asks for each kind every second, though the watchers will tell it.
+    Without a confirmed watcher each daemon called for each kind every second, though
+    its watchers relay the updates later.
     """
 
     class AwayStore:
@@ -661,11 +659,10 @@
 
 
 def test_who_becomes_a_watcher_in_the_middle_of_a_call_passes_on_no_part_of_a_list():
-    """Symptom: daemons that follow a certain watcher know one upstream of thirty.
+    """Guards against followers that know one upstream of thirty.
 
-    Sequence: a daemon that follows asks the store itself, becomes one of the watchers
-    before the answer comes, and that brings a change. Cause: the change was kept as if
-    it followed on a list, which this daemon had never passed on.
+    A follower that became a watcher during its own watch relayed the change of that
+    answer as if it followed on a list, which it had never relayed.
     """
 
     class Store:
