--- a/packages/core/gypsum_core/context.py
+++ b/packages/core/gypsum_core/context.py
@@ -53,5 +53,5 @@
         self.emit(Log(part=part, text=text))
 
     def random_token(self):
-        """A random 128-bit name in hexadecimal: not guessable, no collisions."""
+        """A random 128-bit name in hexadecimal, unguessable and unique in practice."""
         return f"{self.rng.getrandbits(128):032x}"
