--- a/bench/overload.py
+++ b/bench/overload.py
@@ -11,7 +11,7 @@
 from gypsum_core.records import Mode
 from gypsum_core.spec import KindSpec
 from tests.fakes.world import BETWEEN_DOMAINS, JITTER, World, make_spec, put
-from tests.invariants import done
+from tests.invariants import is_done
 
 SERVICE = 0.01
 SLOTS = 5
@@ -77,7 +77,7 @@
     def answered(self, answer, member, kind, asked, counts):
         """Count an answer that came within its deadline."""
         took = self.world.clock.now - asked
-        if counts and done(answer) and took <= DEADLINE:
+        if counts and is_done(answer) and took <= DEADLINE:
             self.served[kind] += 1
             self.waits[member].append(took)
         elif counts:
--- a/bench/replicas.py
+++ b/bench/replicas.py
@@ -17,7 +17,7 @@
 from gypsum_core.records import Mode
 from gypsum_core.spec import KindSpec
 from tests.fakes.world import World, get, make_spec, put
-from tests.invariants import done
+from tests.invariants import is_done
 
 RATE = 250.0
 SECONDS = 8.0
@@ -106,7 +106,7 @@
     def wrote(self, person, answer):
         """It is done."""
         person.busy = False
-        if done(answer):
+        if is_done(answer):
             person.session = answer.position
             person.written = answer.position.index
             length = len(self.group.member("grid-u1").log)
@@ -141,7 +141,7 @@
     def was_read(self, person, answer, lawful, asked):
         """Count a read."""
         person.busy = False
-        if not done(answer):
+        if not is_done(answer):
             return
         if answer.position is not None:
             person.session = max(answer.position, person.session or answer.position)
@@ -170,7 +170,7 @@
     placement = PLAIN_PLACE(self, job, claimed)
     if placement.place is not Place.REPLICA:
         return placement
-    end = self.view.end()
+    end = self.view.log_end()
     level = tuple(
         name
         for name in placement.upstreams
