--- a/packages/core/gypsum_core/responses.py
+++ b/packages/core/gypsum_core/responses.py
@@ -81,8 +81,8 @@
         current = operation.as_of >= job.arrived
         if not current and age * 1000 > job.kind.max_age_ms:
             # The result has become too old since the read was sent, for instance
-            # while this process was suspended. Request current data instead: its
-            # age counts from this request's arrival and cannot expire again.
+            # while this process was suspended. Request current data instead, which
+            # remains a valid answer however long the read takes.
             job.request = replace(job.request, current=True)
             self.home.read_scheduler.place_read(job)
             return
