--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -26,7 +26,7 @@
 from gypsum_core.spec import DEFAULT_TUNING, Instance, InstanceRole
 from gypsum_links.codec import encode
 from gypsum_links.links import Links
-from gypsum_upstream.sql import ask_status
+from gypsum_upstream.sql import query_status
 from tests.cluster import Cluster
 from tests.fakes.platform import accepted
 from tests.fakes.world import make_spec
@@ -199,10 +199,10 @@
         counted = CountingRelay(cluster.sql_ports["u1"])
         port = await counted.listen()
         conn = await asyncmy.connect(host="127.0.0.1", port=port, user="x")
-        await ask_status(conn)
+        await query_status(conn)
         before = counted.bytes
         for _ in range(PROBES):
-            await ask_status(conn)
+            await query_status(conn)
         total = counted.bytes - before
         conn.close()
         await asyncio.sleep(RELAY_END)
--- a/packages/daemon/gypsum_daemon/callercontext.py
+++ b/packages/daemon/gypsum_daemon/callercontext.py
@@ -70,7 +70,7 @@
         known = spec.kind_by_name.get(kind)
         return known.deadline_ms if known else DEFAULT_DEADLINE_MS
 
-    def count(self, req, answer, seconds):
+    def record_answer(self, req, answer, seconds):
         """Record an answer in the metrics."""
         spec = self.shell.node.spec(req.database)
-        self.metrics.answered(req, spec, answer, seconds)
+        self.metrics.record_answer(req, spec, answer, seconds)
--- a/packages/daemon/gypsum_daemon/callers.py
+++ b/packages/daemon/gypsum_daemon/callers.py
@@ -10,7 +10,7 @@
 from gypsum_core.tokens import TokenError, decode_token, encode_token
 from gypsum_daemon.bodies import BeginBody, EndBody, QueryBody, TxQueryBody
 from gypsum_daemon.callercontext import MEMBER_KEY_HEADER, RequestRejected, bad_request
-from gypsum_daemon.problems import CONTENT_TYPE, Problem, problem_of
+from gypsum_daemon.problems import CONTENT_TYPE, Problem, make_problem
 from gypsum_model.base import parse_model
 from gypsum_model.errors import UserError
 
@@ -18,7 +18,7 @@
 CALLER_HEADER = "Gypsum-Caller"
 DEADLINE_HEADER = "Gypsum-Deadline-Ms"
 KEY_HEADER = "Idempotency-Key"
-MAX_KEY = 128
+MAX_KEY_LENGTH = 128
 MAX_DEADLINE_MS = 600_000.0
 
 
@@ -32,7 +32,7 @@
         self.chunks = []
         self.size = 0
         self.request_id = ""
-        self.begun = time.monotonic()
+        self.started_at = time.monotonic()
 
     def data_received(self, chunk):
         """Collect the body up to the bound, discard what is over it.
@@ -55,34 +55,34 @@
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
             )
 
-    def body(self, model):
+    def parse_body(self, model):
         """The body as a checked model."""
         try:
             return parse_model(model, b"".join(self.chunks), source="body")
         except UserError as exc:
             raise bad_request(exc.message) from None
 
-    async def answer(self, make_request, *args):
+    async def respond(self, build, *args):
         """Build a request, have it answered, write the answer."""
         try:
             self.check_size()
             self.context.check_ready()
-            req = make_request(*args)
+            req = build(*args)
             self.request_id = req.id
-            answer = await self.context.shell.ask(req)
+            answer = await self.context.shell.submit(req)
         except RequestRejected as rejection:
             self.write_problem(rejection.problem)
             return
-        self.context.count(req, answer, time.monotonic() - self.begun)
+        self.context.record_answer(req, answer, time.monotonic() - self.started_at)
         if self.context.shell.node.ctx.draining:
             self.set_header("Connection", "close")
-        self.set_session(req, answer)
+        self.set_session_header(req, answer)
         if answer.outcome is not Outcome.DONE:
-            self.write_problem(problem_of(answer))
+            self.write_problem(make_problem(answer))
             return
         self.write_answer(answer)
 
-    def set_session(self, req, answer):
+    def set_session_header(self, req, answer):
         """Give the session token back: the new one, or the one shown."""
         if answer.position is not None:
             token = encode_token(
@@ -139,18 +139,20 @@
     def on_connection_close(self):
         """The caller hung up."""
         super().on_connection_close()
-        self.context.shell.caller_gone(self.request_id)
+        self.context.shell.caller_disconnected(self.request_id)
 
     # Building requests
 
-    def make(self, verb, database, member, **fields):
+    def make_request(self, verb, database, member, **fields):
         """A request from the headers and what its body said."""
         self.context.check_member(
             database, member, self.request.headers.get(MEMBER_KEY_HEADER, "")
         )
         key = self.request.headers.get(KEY_HEADER, "")
-        if len(key) > MAX_KEY:
-            raise bad_request(f"{KEY_HEADER} is longer than {MAX_KEY} characters")
+        if len(key) > MAX_KEY_LENGTH:
+            raise bad_request(
+                f"{KEY_HEADER} is longer than {MAX_KEY_LENGTH} characters"
+            )
         kind = fields.get("kind", "")
         return Request(
             id=self.context.shell.node.ctx.token(),
@@ -159,7 +161,7 @@
             member=member,
             deadline=time.monotonic() + self.deadline_ms(database, kind) / 1000,
             caller=self.request.headers.get(CALLER_HEADER, ""),
-            session=self.session(database, member),
+            session=self.session_position(database, member),
             key=key or self.context.shell.node.ctx.token(),
             keyed=bool(key),
             **fields,
@@ -167,18 +169,18 @@
 
     def deadline_ms(self, database, kind):
         """The caller's deadline, else its kind's."""
-        given = self.request.headers.get(DEADLINE_HEADER)
-        if given is None:
+        header = self.request.headers.get(DEADLINE_HEADER)
+        if header is None:
             return self.context.default_deadline_ms(database, kind)
         try:
-            value = float(given)
+            value = float(header)
         except ValueError:
             value = float("nan")
         if not -MAX_DEADLINE_MS <= value <= MAX_DEADLINE_MS:
             raise bad_request(f"{DEADLINE_HEADER} is not a number of milliseconds")
         return value
 
-    def session(self, database, member):
+    def session_position(self, database, member):
         """The position that the session token proves, or None without one."""
         token = self.request.headers.get(SESSION_HEADER, "")
         if not token:
@@ -196,12 +198,12 @@
 
     async def post(self, database):
         """Run one statement."""
-        await self.answer(self.build, database)
+        await self.respond(self.build_request, database)
 
-    def build(self, database):
+    def build_request(self, database):
         """The request for a statement."""
-        body = self.body(QueryBody)
-        return self.make(
+        body = self.parse_body(QueryBody)
+        return self.make_request(
             Verb.QUERY,
             database,
             body.member,
@@ -215,12 +217,12 @@
 
     async def post(self, database):
         """Open a transaction."""
-        await self.answer(self.build, database)
+        await self.respond(self.build_request, database)
 
-    def build(self, database):
+    def build_request(self, database):
         """The request that opens a transaction."""
-        body = self.body(BeginBody)
-        return self.make(Verb.BEGIN, database, body.member, kind=body.kind)
+        body = self.parse_body(BeginBody)
+        return self.make_request(Verb.BEGIN, database, body.member, kind=body.kind)
 
 
 class TxQueryHandler(CallerHandler):
@@ -228,13 +230,13 @@
 
     async def post(self, database, tx):
         """Run a statement inside a transaction."""
-        await self.answer(self.build, database, tx)
+        await self.respond(self.build_request, database, tx)
 
-    def build(self, database, tx):
+    def build_request(self, database, tx):
         """The request for a statement of a transaction."""
-        body = self.body(TxQueryBody)
+        body = self.parse_body(TxQueryBody)
         statement = Statement(sql=body.sql, params=body.params)
-        return self.make(
+        return self.make_request(
             Verb.TX_QUERY, database, body.member, tx=tx, statement=statement
         )
 
@@ -244,12 +246,12 @@
 
     async def post(self, database, tx, verb):
         """End a transaction."""
-        await self.answer(self.build, database, tx, verb)
+        await self.respond(self.build_request, database, tx, verb)
 
-    def build(self, database, tx, verb):
+    def build_request(self, database, tx, verb):
         """The request that ends a transaction."""
-        body = self.body(EndBody)
-        return self.make(Verb(verb), database, body.member, tx=tx)
+        body = self.parse_body(EndBody)
+        return self.make_request(Verb(verb), database, body.member, tx=tx)
 
 
 class OutcomeHandler(CallerHandler):
@@ -257,15 +259,15 @@
 
     async def get(self, database, key):
         """Make a key's outcome final and tell it."""
-        await self.answer(self.build, database, key)
+        await self.respond(self.build_request, database, key)
 
-    def build(self, database, key):
+    def build_request(self, database, key):
         """The request that settles a key."""
         member = self.get_query_argument("member", "")
         if not member:
             raise bad_request("the query needs member=NAME")
         self.request.headers[KEY_HEADER] = key
-        return self.make(Verb.OUTCOME, database, member)
+        return self.make_request(Verb.OUTCOME, database, member)
 
 
 def make_application(context):
@@ -281,12 +283,12 @@
             (tx + r"/(commit|rollback)", TxEndHandler, shared),
             (database + r"/outcomes/([!-~]{1,128})", OutcomeHandler, shared),
         ],
-        default_handler_class=NoSuchPath,
+        default_handler_class=NotFoundHandler,
         log_function=lambda handler: None,
     )
 
 
-class NoSuchPath(RequestHandler):
+class NotFoundHandler(RequestHandler):
     """Any other path."""
 
     def prepare(self):
--- a/packages/daemon/gypsum_daemon/feed.py
+++ b/packages/daemon/gypsum_daemon/feed.py
@@ -14,10 +14,10 @@
 PART = "platform"
 DATABASES = "databases"
 STATUS = "status"
-WATCH_WAIT = 20.0
-SLOWEST_RETRY = 5.0
-FIRST_RETRY = 0.2
-IDLE_CHECK = 0.5
+WATCH_TIMEOUT = 20.0
+MAX_RETRY_DELAY = 5.0
+MIN_RETRY_DELAY = 0.2
+IDLE_CHECK_INTERVAL = 0.5
 SOURCE = "platform"
 
 
@@ -35,14 +35,14 @@
     def start(self):
         """Start watching; seeds stand in for the list until it is known."""
         if self.settings.seeds:
-            self.shell.feed(InstancesListed(instances=self.seed_instances()))
+            self.shell.handle_event(InstancesListed(instances=self.seed_instances()))
         self.shell.record_status = self.record_status
-        for loop in (self.follow_instances, self.follow_manifests):
-            self.spawn(loop())
+        for watch in (self.poll_instances, self.watch_manifests):
+            self.spawn(watch())
 
-    def spawn(self, work):
+    def spawn(self, coroutine):
         """Run something beside the loop until it ends or we stop."""
-        task = asyncio.ensure_future(work)
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -70,7 +70,7 @@
         for task in list(self.tasks):
             task.cancel()
 
-    async def follow_instances(self):
+    async def poll_instances(self):
         """Read the instance list once, and at intervals while we watch.
 
         What goes wrong if everyone reads it: the platform's calls grow with the
@@ -88,45 +88,45 @@
         except (PlatformError, HTTPClientError) as exc:
             logs.write(PART, f"no instance list: {exc}")
             return
-        self.shell.feed(
+        self.shell.handle_event(
             InstancesListed(instances=listing.instances, revision=listing.revision)
         )
 
-    async def follow_manifests(self):
+    async def watch_manifests(self):
         """Load all manifests once, then watch while it is our turn to."""
-        pause = FIRST_RETRY
+        delay = MIN_RETRY_DELAY
         while True:
             try:
-                await self.follow_once()
-                pause = FIRST_RETRY
+                await self.update_manifests()
+                delay = MIN_RETRY_DELAY
             except (PlatformError, HTTPClientError, KeyError) as exc:
                 logs.write(PART, f"no manifests: {exc}")
-                await asyncio.sleep(pause)
-                pause = min(SLOWEST_RETRY, 2 * pause)
+                await asyncio.sleep(delay)
+                delay = min(MAX_RETRY_DELAY, 2 * delay)
 
-    async def follow_once(self):
+    async def update_manifests(self):
         """One call: the first listing, a watch, or a rest."""
         if not self.loaded:
             listing = await self.client.list_objects(DATABASES)
-            self.take(listing, complete=True)
+            self.apply_listing(listing, complete=True)
             self.loaded = True
         elif self.shell.node.manifests.watches():
             listing = await self.client.watch(
-                DATABASES, since=self.revision, wait=WATCH_WAIT
+                DATABASES, since=self.revision, wait=WATCH_TIMEOUT
             )
-            self.take(listing, complete=False)
+            self.apply_listing(listing, complete=False)
         else:
             # Others watch for us and pass changes on.
-            await asyncio.sleep(IDLE_CHECK)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL)
 
-    def take(self, listing, *, complete):
+    def apply_listing(self, listing, *, complete):
         """Hand a listing over; the revision only rises, as answers may be old."""
         self.revision = max(self.revision, listing.revision)
         entries = tuple(
             ManifestEntry(database=item.name, version=item.version, body=item.body)
             for item in listing.objects
         )
-        self.shell.feed_manifests(entries, source=SOURCE, complete=complete)
+        self.shell.handle_manifests(entries, source=SOURCE, complete=complete)
 
     def record_status(self, action):
         """Write who leads into the status object, best effort."""
--- a/packages/daemon/gypsum_daemon/logs.py
+++ b/packages/daemon/gypsum_daemon/logs.py
@@ -24,7 +24,7 @@
         return json.dumps(line)
 
 
-def set_up(log_format):
+def configure(log_format):
     """Send logs to standard error in the chosen form."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
--- a/packages/daemon/gypsum_daemon/main.py
+++ b/packages/daemon/gypsum_daemon/main.py
@@ -22,8 +22,8 @@
 
 PART = "daemon"
 DISCARDED_BODY_LIMIT = 1 << 28
-GOODBYE_SECONDS = 0.2
-LAST_ANSWER_LOOKS = 50
+SHUTDOWN_POLL_SECONDS = 0.2
+MAX_SHUTDOWN_POLLS = 50
 
 
 @cappa.command(name="gypsumhitchd", help="The database proxy daemon.")
@@ -67,10 +67,10 @@
         client=PlatformClient(base_url=settings.platform),
         settings=settings,
     )
-    handle_signals(shell)
+    install_signal_handlers(shell)
     shell.start()
     feed.start()
-    announce(settings, ports)
+    print_ready(settings, ports)
     await shell.exited.wait()
     await shut_down(shell, feed, caller_server, operator_server)
 
@@ -80,7 +80,7 @@
     try:
         sockets = bind_sockets(address.port, address.host)
     except OSError as exc:
-        raise cannot_listen(address, exc) from None
+        raise listen_error(address, exc) from None
     server.add_sockets(sockets)
     return sockets[0].getsockname()[1]
 
@@ -90,10 +90,10 @@
     try:
         return await shell.links.listen(address.host, address.port)
     except OSError as exc:
-        raise cannot_listen(address, exc) from None
+        raise listen_error(address, exc) from None
 
 
-def cannot_listen(address, exc):
+def listen_error(address, exc):
     """The error for an address that cannot be bound."""
     return UserError(
         f"cannot listen: {exc.strerror or exc}",
@@ -102,14 +102,14 @@
     )
 
 
-def handle_signals(shell):
+def install_signal_handlers(shell):
     """SIGTERM and SIGINT begin the graceful shutdown."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shell.drain)
 
 
-def announce(settings, ports):
+def print_ready(settings, ports):
     """Say on standard output that the daemon is up, and where."""
     print(
         f"ready {settings.daemon} callers={ports.callers} peers={ports.peers} "
@@ -126,8 +126,8 @@
     """
     caller_server.stop()
     operator_server.stop()
-    await asyncio.sleep(GOODBYE_SECONDS)
-    await let_last_answers_out(shell)
+    await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
+    await wait_for_pending_requests(shell)
     feed.stop()
     closing = (caller_server.close_all_connections(), shell.close())
     results = await asyncio.gather(*closing, return_exceptions=True)
@@ -137,12 +137,12 @@
     logs.write(PART, "stopped")
 
 
-async def let_last_answers_out(shell):
+async def wait_for_pending_requests(shell):
     """Wait, within a bound, for requests that came while the listener closed."""
-    for _ in range(LAST_ANSWER_LOOKS):
-        if not shell.waiting:
+    for _ in range(MAX_SHUTDOWN_POLLS):
+        if not shell.pending:
             return
-        await asyncio.sleep(GOODBYE_SECONDS)
+        await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
 
 
 def run(command):
@@ -152,7 +152,7 @@
         if command.check:
             print(f"{command.settings}: the settings are in order")
             return 0
-        logs.set_up(settings.log_format)
+        logs.configure(settings.log_format)
         asyncio.run(serve(settings))
     except UserError as exc:
         print(f"gypsumhitchd: {exc}", file=sys.stderr)
--- a/packages/daemon/gypsum_daemon/metrics.py
+++ b/packages/daemon/gypsum_daemon/metrics.py
@@ -7,8 +7,8 @@
 from aioprometheus import Counter, Gauge, Histogram, Registry
 from aioprometheus.renderer import render
 
-SECONDS = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0]
-OTHER = "other"
+LATENCY_BUCKETS = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0]
+OTHER_LABEL = "other"
 
 
 class Metrics:
@@ -19,7 +19,7 @@
         self.seconds = Histogram(
             "gypsum_request_seconds",
             "Time to answer a caller, by member and kind.",
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS,
             registry=self.registry,
         )
         self.answers = Counter(
@@ -55,16 +55,16 @@
             registry=self.registry,
         )
 
-    def answered(self, request, spec, answer, seconds):
+    def record_answer(self, request, spec, answer, seconds):
         """Count one answer to a caller."""
         known = spec is not None
-        member = request.member if known else OTHER
-        kind = request.kind if known else OTHER
+        member = request.member if known else OTHER_LABEL
+        kind = request.kind if known else OTHER_LABEL
         if known and member not in spec.weight_by_member:
-            member = OTHER
+            member = OTHER_LABEL
         if known and kind not in spec.kind_by_name:
-            kind = OTHER
-        labels = {"database": spec.name if known else OTHER, "member": member}
+            kind = OTHER_LABEL
+        labels = {"database": spec.name if known else OTHER_LABEL, "member": member}
         self.seconds.observe({**labels, "kind": kind}, seconds)
         self.answers.inc(
             {
@@ -74,7 +74,7 @@
             }
         )
 
-    def take_homes(self, boards):
+    def collect_homes(self, boards):
         """Refresh the gauges from the homes' boards."""
         for board in boards:
             name = {"database": board.database}
@@ -89,14 +89,14 @@
             for upstream in board.upstreams:
                 self.lag.set({**name, "upstream": upstream.id}, upstream.lag_ms)
 
-    def take_pools(self, pools):
+    def collect_pools(self, pools):
         """Refresh the gauges of connections from the pools by (database, upstream)."""
         for (database, upstream), pool in pools.items():
             labels = {"database": database, "upstream": upstream}
-            self.connections.set({**labels, "what": "open"}, pool.opened)
+            self.connections.set({**labels, "what": "open"}, pool.open_count)
             self.connections.set({**labels, "what": "peak"}, pool.peak)
             self.connections.set({**labels, "what": "waits"}, pool.waits)
 
-    def render(self, accepts):
+    def render(self, accept_headers):
         """The metrics in Prometheus' text form."""
-        return render(self.registry, accepts)
+        return render(self.registry, accept_headers)
--- a/packages/daemon/gypsum_daemon/operators.py
+++ b/packages/daemon/gypsum_daemon/operators.py
@@ -47,8 +47,8 @@
     def get(self):
         """Refresh the gauges and write everything."""
         homes = self.shell.node.homes.values()
-        self.metrics.take_homes([item.describe() for item in homes])
-        self.metrics.take_pools(self.shell.executor.pools)
+        self.metrics.collect_homes([item.describe() for item in homes])
+        self.metrics.collect_pools(self.shell.executor.pools)
         content, headers = self.metrics.render(self.request.headers.get_list("Accept"))
         for name, value in headers.items():
             self.set_header(name, value)
--- a/packages/daemon/gypsum_daemon/problems.py
+++ b/packages/daemon/gypsum_daemon/problems.py
@@ -9,7 +9,7 @@
 CONTENT_TYPE = "application/problem+json"
 TYPE_PREFIX = "urn:gypsumhitch:"
 
-STATUS_OF_REASON = {
+STATUS_BY_REASON = {
     Reason.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
     Reason.SQL_ERROR: HTTPStatus.UNPROCESSABLE_ENTITY,
     Reason.KEY_REUSED: HTTPStatus.UNPROCESSABLE_ENTITY,
@@ -52,10 +52,10 @@
         return str(math.ceil(self.retry_after_s)) if self.retry_after_s > 0 else ""
 
 
-def problem_of(answer):
+def make_problem(answer):
     """The problem that an unsuccessful answer stands for."""
     unavailable = HTTPStatus.SERVICE_UNAVAILABLE
-    status = STATUS_OF_REASON.get(answer.reason, unavailable)
+    status = STATUS_BY_REASON.get(answer.reason, unavailable)
     if answer.outcome is Outcome.UNKNOWN:
         status = HTTPStatus.GATEWAY_TIMEOUT
     return Problem(
--- a/packages/daemon/gypsum_daemon/shell.py
+++ b/packages/daemon/gypsum_daemon/shell.py
@@ -55,10 +55,10 @@
                 password=settings.login.password.get_secret_value(),
             ),
             address_of=self.upstream_address,
-            report=self.feed,
+            report=self.handle_event,
             max_rows=settings.max_answer_rows,
         )
-        self.waiting = {}
+        self.pending = {}
         self.exited = asyncio.Event()
         self.record_status: Callable[[actions.RecordStatus], Any] = lambda action: None
         self.handlers = {
@@ -69,7 +69,7 @@
             actions.Warm: self.executor.warm,
             actions.DropConnections: self.executor.drop_connections,
             actions.DropLink: self.drop_link,
-            actions.RecordStatus: self.record,
+            actions.RecordStatus: self.record_leader_status,
             actions.Exit: self.exit,
         }
 
@@ -77,60 +77,60 @@
 
     def start(self):
         """Begin with the node's first actions."""
-        self.carry_out(self.node.start(time.monotonic()))
+        self.execute_actions(self.node.start(time.monotonic()))
 
-    def feed(self, event):
+    def handle_event(self, event):
         """Give the node an event and carry out what it asks for."""
-        self.carry_out(self.node.handle(event, time.monotonic()))
+        self.execute_actions(self.node.handle(event, time.monotonic()))
 
     def message_arrived(self, peer, message):
         """A peer's message; manifests in it pass the border checks first."""
         if isinstance(message, Changes):
-            self.feed_changes(peer, message)
+            self.handle_changes(peer, message)
             return
-        self.feed(PeerMessage(peer=peer, message=message))
+        self.handle_event(PeerMessage(peer=peer, message=message))
 
-    def feed_changes(self, peer, changes):
+    def handle_changes(self, peer, changes):
         """Take in manifests that a peer holds in force."""
-        self.feed_manifests(changes.entries, source=peer, complete=changes.complete)
+        self.handle_manifests(changes.entries, source=peer, complete=changes.complete)
 
-    def feed_manifests(self, entries, *, source, complete):
+    def handle_manifests(self, entries, *, source, complete):
         """Check manifests and put the newer ones in force."""
         checked = []
         for entry in entries:
             try:
-                checked.append(check_entry(entry))
+                checked.append(validate_entry(entry))
             except UserError as exc:
                 logs.write("manifest", f"{entry.database}: left out: {exc}")
-        self.feed(
+        self.handle_event(
             ManifestsSeen(manifests=tuple(checked), source=source, complete=complete)
         )
 
     def link_lost(self, peer):
         """A link broke."""
-        self.feed(PeerLost(peer=peer))
+        self.handle_event(PeerLost(peer=peer))
 
-    def ask(self, request):
+    def submit(self, request):
         """Submit a caller's request; the future holds its answer."""
         fut = self.loop.create_future()
-        self.waiting[request.id] = fut
-        self.feed(CallerRequest(request=request))
+        self.pending[request.id] = fut
+        self.handle_event(CallerRequest(request=request))
         return fut
 
-    def caller_gone(self, request_id):
+    def caller_disconnected(self, request_id):
         """A caller hung up."""
-        if self.waiting.pop(request_id, None) is not None:
-            self.feed(CallerGone(request=request_id))
+        if self.pending.pop(request_id, None) is not None:
+            self.handle_event(CallerGone(request=request_id))
 
     def drain(self):
         """Begin the graceful shutdown."""
-        self.feed(DrainAsked())
+        self.handle_event(DrainAsked())
 
     # Actions out
 
-    def carry_out(self, todo):
+    def execute_actions(self, actions_to_execute):
         """Carry out actions in order."""
-        for action in todo:
+        for action in actions_to_execute:
             handler = self.handlers.get(type(action), self.executor.start)
             handler(action)
 
@@ -140,7 +140,7 @@
 
     def reply(self, action):
         """Answer a caller that still waits."""
-        fut = self.waiting.pop(action.answer.request, None)
+        fut = self.pending.pop(action.answer.request, None)
         if fut is not None and not fut.done():
             fut.set_result(action.answer)
 
@@ -148,7 +148,7 @@
         """Wake the node later."""
         self.loop.call_at(
             self.loop.time() + max(0.0, action.at - time.monotonic()),
-            self.feed,
+            self.handle_event,
             TimerFired(timer=action.timer),
         )
 
@@ -160,7 +160,7 @@
         """Close a silent link."""
         self.links.reset(action.peer)
 
-    def record(self, action):
+    def record_leader_status(self, action):
         """Tell the platform who leads, best effort."""
         self.record_status(action)
 
@@ -191,7 +191,7 @@
         await self.executor.close()
 
 
-def check_entry(entry: ManifestEntry):
+def validate_entry(entry: ManifestEntry):
     """A manifest that passed the border checks, or UserError."""
     manifest = parse_manifest(entry.body, source=entry.database)
     if manifest.database != entry.database:
--- a/packages/upstream/gypsum_upstream/__init__.py
+++ b/packages/upstream/gypsum_upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to upstreams, and the verbs of their database groups."""
+"""Connections to upstreams, and the commands of their database groups."""
--- a/packages/upstream/gypsum_upstream/dialect.py
+++ b/packages/upstream/gypsum_upstream/dialect.py
@@ -1,15 +1,15 @@
-"""How a database group is spoken to: verbs, ledger, claim, error classes.
+"""The SQL of a database group: commands, ledger, claim, error classes.
 
-ASSUMED, until the users' own bench says how it is; all in this module:
+This module makes the following assumptions, not yet verified on the users' database:
 
 - Each group member answers `CALL gypsum_status()` with one row: id, is primary,
   promised term, term of the last log entry, received index, applied index,
-  holder of the claim, whom it follows, milliseconds since it heard its source
-  (-1: not a replica), log entries discarded by the last follow.
-- `CALL gypsum_fence(T)` promises a strictly higher term and stops older primaries
-  and their log; `CALL gypsum_promote(T)` makes a member that promised T primary;
-  `CALL gypsum_follow(T, ID)` makes it replicate from a primary. Each answers with
-  the status row; a refused fence shows the higher promise.
+  holder of the claim, the id of its replication source, milliseconds since the last
+  message from it (-1: not a replica), log entries discarded by the last follow.
+- `CALL gypsum_fence(T)` promises a strictly higher term and stops primaries of older
+  terms and their log; `CALL gypsum_promote(T)` makes a member that promised T primary;
+  `CALL gypsum_follow(T, ID)` makes it replicate from a primary. Each returns
+  the status row; that of a refused fence shows the higher promised term.
 - The tables `gypsum_ledger` and `gypsum_claim` exist in the database and are
   replicated with it. `INSERT ... SELECT` from the claim locks its row against
   changes until the transaction ends, as InnoDB does.
@@ -35,7 +35,7 @@
     "INSERT INTO gypsum_ledger (member, ledger_key, fingerprint, state)"
     " SELECT %s, %s, %s, 'done' FROM gypsum_claim WHERE holder = %s"
 )
-LEDGER_REVIVE_SQL = (
+LEDGER_REUSE_SQL = (
     "UPDATE gypsum_ledger SET fingerprint = %s, state = 'done'"
     " WHERE member = %s AND ledger_key = %s AND state = 'barred'"
     " AND EXISTS (SELECT 1 FROM gypsum_claim WHERE holder = %s)"
@@ -60,12 +60,12 @@
 ER_READ_ONLY_TX = 1792
 ER_READ_ONLY_MODE = 1836
 ER_KILLED = 1317
-CR_FIRST = 2000
-CR_LAST = 2999
+CLIENT_ERROR_MIN = 2000
+CLIENT_ERROR_MAX = 2999
 
 
 class ErrorClass(StrEnum):
-    """What an error says about the statement that met it."""
+    """The consequence of an error for the statement that caused it."""
 
     STATEMENT = "statement"
     RETRY = "retry"
@@ -73,8 +73,8 @@
     LOST = "lost"
 
 
-def classify(exc):
-    """Sort an error: the statement's fault, a passing one, a fence, a lost link."""
+def classify_error(exc):
+    """Classify an error: statement error, transient, fenced or lost connection."""
     if isinstance(exc, TypeError | ValueError):
         return ErrorClass.STATEMENT
     if not isinstance(exc, MySQLError | Error):
@@ -84,27 +84,27 @@
         return ErrorClass.STALE
     if code in (ER_LOCK_WAIT, ER_DEADLOCK):
         return ErrorClass.RETRY
-    if code == ER_KILLED or CR_FIRST <= code <= CR_LAST:
+    if code == ER_KILLED or CLIENT_ERROR_MIN <= code <= CLIENT_ERROR_MAX:
         return ErrorClass.LOST
     if isinstance(exc, OperationalError) and code == 0:
         return ErrorClass.LOST
     return ErrorClass.STATEMENT
 
 
-def is_duplicate(exc):
-    """Tell whether a unique key refused a row."""
+def is_duplicate_key(exc):
+    """Return whether the error is a duplicate key violation."""
     return isinstance(exc, Error) and bool(exc.args) and exc.args[0] == ER_DUP_ENTRY
 
 
-def describe(exc):
-    """An error as one short line."""
+def describe_error(exc):
+    """Format an error as one short line."""
     if len(exc.args) > 1:
         return f"{exc.args[1]} ({exc.args[0]})"
     return str(exc) or type(exc).__name__
 
 
-def read_status(row):
-    """A status from its row."""
+def parse_status(row):
+    """Parse the status row of a group command."""
     return Status(
         upstream=str(row[0]),
         primary=bool(int(row[1])),
@@ -120,5 +120,5 @@
 
 
 def end_of_log(status):
-    """The position at or after everything committed before the status."""
+    """Return a log position at or after everything committed before the status."""
     return Position(term=status.log_term, index=status.received)
--- a/packages/upstream/gypsum_upstream/executor.py
+++ b/packages/upstream/gypsum_upstream/executor.py
@@ -1,4 +1,4 @@
-"""Carries out the decision logic's upstream actions and reports what came of it."""
+"""Executes the decision logic's upstream actions and reports their results."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,18 +11,18 @@
 from gypsum_core.events import Failed, Ran, Settled, StatusKnown, UpstreamEvent
 from gypsum_core.records import Reason, Result
 from gypsum_upstream import dialect, ledger
-from gypsum_upstream.dialect import ErrorClass, classify, describe
-from gypsum_upstream.ledger import ClaimLost, Progress, Refused
-from gypsum_upstream.pool import Pool, Pooled
-from gypsum_upstream.sql import ask_status, run
+from gypsum_upstream.dialect import ErrorClass, classify_error, describe_error
+from gypsum_upstream.ledger import ClaimLost, Progress, RequestRefused
+from gypsum_upstream.pool import Pool, PooledConn
+from gypsum_upstream.sql import execute, query_status
 
 CONNECT_TIMEOUT = 1.0
-FIRST_LIMIT = 4
+INITIAL_POOL_LIMIT = 4
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Login:
-    """Who we are at upstreams."""
+    """The daemon's credentials for upstreams."""
 
     user: str
     password: str
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class OpenTransaction:
-    """A transaction's connection, out of the pool until it ends."""
+    """An open transaction's connection, reserved until the transaction ends."""
 
     pool: Pool
-    pooled: Pooled
+    pooled: PooledConn
 
 
 class Executor:
-    """Runs upstream actions as tasks; each ends in one event, or none if abandoned."""
+    """Runs upstream actions as tasks; each reports one event, or none if abandoned."""
 
     def __init__(self, *, login, address_of, report: Callable, max_rows):
         self.login = login
@@ -45,7 +45,7 @@
         self.report = report
         self.max_rows = max_rows
         self.pools = {}
-        self.controls = {}
+        self.control_connections = {}
         self.transactions = {}
         self.tasks = {}
         self.background = set()
@@ -66,14 +66,14 @@
     # Entry points
 
     def start(self, action):
-        """Carry out one action."""
+        """Start one action."""
         if isinstance(action, actions.TxAbort):
             self.tx_abort(action.tx)
         elif isinstance(action, actions.Abandon):
             self.abandon(action.op)
         else:
             progress = Progress()
-            task = asyncio.ensure_future(self.carry_out(action, progress))
+            task = asyncio.ensure_future(self.execute_action(action, progress))
             self.tasks[action.op] = task
             task.add_done_callback(lambda _: self.tasks.pop(action.op, None))
 
@@ -83,12 +83,12 @@
         pool.resize(limit=action.limit, target=action.connections)
 
     def drop_connections(self, action):
-        """Forget connections that have gone silent."""
-        self.pool(action.database, action.upstream).drop_idle()
-        self.drop_control(action.database, action.upstream)
+        """Close connections that have become silent."""
+        self.pool(action.database, action.upstream).close_idle()
+        self.close_control(action.database, action.upstream)
 
     def abandon(self, op):
-        """Stop an operation; nobody waits for its answer any more."""
+        """Cancel an operation whose result is no longer needed."""
         task = self.tasks.pop(op, None)
         if task is not None:
             task.cancel()
@@ -101,145 +101,147 @@
             self.tx_abort(name)
         for pool in self.pools.values():
             pool.close()
-        for conn in self.controls.values():
+        for conn in self.control_connections.values():
             conn.close()
         await asyncio.sleep(0)
 
-    # One action
+    # Running an action
 
-    async def carry_out(self, action, progress):
-        """Run one action within its time and report its one event."""
+    async def execute_action(self, action, progress):
+        """Run an action within its timeout and report its event."""
         try:
             handler = self.handlers[type(action)]
             event = await asyncio.wait_for(handler(action, progress), action.timeout)
         except asyncio.CancelledError:
             raise
         except Exception as exc:
-            event = self.failure(action, exc, progress)
+            event = self.make_failure(action, exc, progress)
         self.report(event)
 
-    def failure(self, action, exc, progress) -> UpstreamEvent:
-        """Say truthfully what an error means for the action."""
+    def make_failure(self, action, exc, progress) -> UpstreamEvent:
+        """Return the event for an error: reason, and whether a commit is in doubt."""
         silent = isinstance(exc, TimeoutError)
         claim_lost = isinstance(exc, ClaimLost)
-        kind = classify(exc)
+        error_class = classify_error(exc)
         reason = None
-        if isinstance(exc, Refused):
+        if isinstance(exc, RequestRefused):
             reason = exc.reason
-        elif kind is ErrorClass.STATEMENT:
+        elif error_class is ErrorClass.STATEMENT:
             reason = Reason.SQL_ERROR
-        unclear = progress.commit_sent and kind is ErrorClass.LOST and not claim_lost
+        in_doubt = (
+            progress.commit_sent and error_class is ErrorClass.LOST and not claim_lost
+        )
         return Failed(
             op=action.op,
             database=action.database,
-            sent=unclear,
-            detail="no answer in time" if silent else describe(exc),
+            sent=in_doubt,
+            detail="no answer in time" if silent else describe_error(exc),
             reason=reason,
-            stale=kind is ErrorClass.STALE,
+            stale=error_class is ErrorClass.STALE,
             claim_lost=claim_lost,
             silent=silent,
         )
 
-    # Group verbs, on a connection of their own
+    # Group commands, on a separate connection
 
     async def probe(self, action, progress):
-        """Ask for the status."""
+        """Query the status."""
         if action.fresh:
-            return await self.fresh_probe(action)
-        return await self.verb(action, dialect.STATUS_SQL, ())
+            return await self.probe_on_new_connection(action)
+        return await self.run_command(action, dialect.STATUS_SQL, ())
 
-    async def fresh_probe(self, action):
-        """Ask on a new connection; it replaces the old one if it answers."""
+    async def probe_on_new_connection(self, action):
+        """Query the status on a new connection, which replaces the old one."""
         conn = await self.connect(action.database, action.upstream)
         try:
-            status = await ask_status(conn)
+            status = await query_status(conn)
         except BaseException:
             conn.close()
             raise
-        self.drop_control(action.database, action.upstream)
-        self.controls[(action.database, action.upstream)] = conn
-        return status_known(action, status)
+        self.close_control(action.database, action.upstream)
+        self.control_connections[(action.database, action.upstream)] = conn
+        return status_event(action, status)
 
     async def fence(self, action, progress):
         """Make the upstream promise a term."""
-        return await self.verb(action, dialect.FENCE_SQL, (action.term,))
+        return await self.run_command(action, dialect.FENCE_SQL, (action.term,))
 
     async def promote(self, action, progress):
         """Make the upstream primary."""
-        return await self.verb(action, dialect.PROMOTE_SQL, (action.term,))
+        return await self.run_command(action, dialect.PROMOTE_SQL, (action.term,))
 
     async def follow(self, action, progress):
         """Make the upstream follow a primary."""
         params = (action.term, action.primary)
-        return await self.verb(action, dialect.FOLLOW_SQL, params)
+        return await self.run_command(action, dialect.FOLLOW_SQL, params)
 
     async def claim(self, action, progress):
-        """Write our name into the claim row."""
+        """Write this daemon's name into the claim row."""
         pool = self.pool(action.database, action.upstream)
         pooled = await pool.acquire()
         try:
             await set_session(pooled, read_only=False)
-            await run(pooled.conn, dialect.CLAIM_SQL, (action.holder,))
-            status = await ask_status(pooled.conn)
+            await execute(pooled.conn, dialect.CLAIM_SQL, (action.holder,))
+            status = await query_status(pooled.conn)
         except BaseException:
-            pool.shut(pooled)
+            pool.close_connection(pooled)
             raise
         pool.release(pooled)
-        return status_known(action, status)
+        return status_event(action, status)
 
-    async def verb(self, action, sql, params):
-        """Run a group verb on the control connection, opened when needed.
+    async def run_command(self, action, sql, params):
+        """Run a group command on the control connection, opened on demand.
 
-        A verb has the connection for itself; one that finds it in use opens
-        another for once, so that a hanging probe does not hold up a fence.
+        A command uses the connection exclusively. If it is in use, a temporary one is
+        opened, so that a hanging probe does not delay a fence.
         """
         key = (action.database, action.upstream)
-        conn = self.controls.pop(key, None)
+        conn = self.control_connections.pop(key, None)
         if conn is None:
             conn = await self.connect(action.database, action.upstream)
         try:
-            status = await ask_status(conn, sql, params)
+            status = await query_status(conn, sql, params)
         except BaseException:
             conn.close()
             raise
-        if key in self.controls:
+        if key in self.control_connections:
             conn.close()
         else:
-            self.controls[key] = conn
-        return status_known(action, status)
+            self.control_connections[key] = conn
+        return status_event(action, status)
 
-    def drop_control(self, database, upstream):
-        """Close the connection that group verbs run on."""
-        conn = self.controls.pop((database, upstream), None)
+    def close_control(self, database, upstream):
+        """Close the connection used for group commands."""
+        conn = self.control_connections.pop((database, upstream), None)
         if conn is not None:
             conn.close()
 
     # Statements
 
     async def read(self, action, progress):
-        """Run a read in a session that cannot write."""
+        """Run a read in a read-only session."""
         pool = self.pool(action.database, action.upstream)
         pooled = await pool.acquire(read_only=True)
         try:
             await set_session(pooled, read_only=True)
             result = await self.run_statement(pooled.conn, action.statement)
         except BaseException:
-            pool.shut(pooled)
+            pool.close_connection(pooled)
             raise
         pool.release(pooled)
         return Ran(op=action.op, database=action.database, result=result)
 
     async def run_statement(self, conn, statement):
-        """Run a caller's statement; an answer past the bound is no answer."""
-        result = await run(conn, statement.sql, statement.params)
+        """Run a caller's statement; refuse a result with more than `max_rows` rows."""
+        result = await execute(conn, statement.sql, statement.params)
         if len(result.rows) > self.max_rows:
-            raise Refused(
+            raise RequestRefused(
                 Reason.ANSWER_TOO_LARGE, f"the answer has over {self.max_rows} rows"
             )
         return result
 
     async def write(self, action, progress):
-        """Run a write with its ledger row."""
+        """Run a write together with its ledger row."""
         pool = self.pool(action.database, action.upstream)
         pooled = await pool.acquire()
         try:
@@ -247,11 +249,11 @@
             result, position = await ledger.write(
                 pooled.conn, action.statement, action.row, action.holder, progress
             )
-        except (ClaimLost, Refused):
+        except (ClaimLost, RequestRefused):
             await self.roll_back(pool, pooled)
             raise
         except BaseException as exc:
-            await self.after_error(pool, pooled, exc, action)
+            await self.release_after_error(pool, pooled, exc, action)
             raise
         pool.release(pooled)
         return Ran(
@@ -259,69 +261,69 @@
         )
 
     async def settle(self, action, progress):
-        """Look a key up, barring it if it has not been run."""
+        """Look up a key, and bar it if it has not run."""
         pool = self.pool(action.database, action.upstream)
         pooled = await pool.acquire()
         try:
             await set_session(pooled, read_only=False)
             result, position = await ledger.settle(pooled.conn, action.row, progress)
         except BaseException:
-            pool.shut(pooled)
+            pool.close_connection(pooled)
             raise
         pool.release(pooled)
         return Settled(
             op=action.op, database=action.database, result=result, position=position
         )
 
-    async def after_error(self, pool, pooled, exc, action):
-        """Return a connection that is in order, discard any other."""
-        if isinstance(exc, Exception) and classify(exc) is not ErrorClass.LOST:
+    async def release_after_error(self, pool, pooled, exc, action):
+        """Roll back and release a working connection; discard a lost one."""
+        if isinstance(exc, Exception) and classify_error(exc) is not ErrorClass.LOST:
             await self.roll_back(pool, pooled)
             return
         self.discard(pool, pooled, action.database, action.upstream)
 
     async def roll_back(self, pool, pooled):
-        """End a transaction without effect and return its connection."""
+        """Roll back a transaction and release its connection."""
         try:
-            await run(pooled.conn, "ROLLBACK")
+            await execute(pooled.conn, "ROLLBACK")
         except BaseException:
-            pool.shut(pooled)
+            pool.close_connection(pooled)
             raise
         pool.release(pooled)
 
     def discard(self, pool, pooled, database, upstream):
-        """Close a connection in an unknown state and end its session there.
+        """Close a connection in an unknown state and kill its session at the upstream.
 
-        What goes wrong without the kill: the session of a silent connection
-        keeps its locks, and the retry waits behind its own first attempt.
+        Otherwise the session of a silent connection keeps its locks, and a retry waits
+        for the locks of its own first attempt.
         """
         thread_id = pooled.conn.thread_id()
-        pool.shut(pooled)
-        task = asyncio.ensure_future(self.kill(database, upstream, thread_id))
+        pool.close_connection(pooled)
+        task = asyncio.ensure_future(self.kill_session(database, upstream, thread_id))
         self.background.add(task)
         task.add_done_callback(self.background.discard)
 
-    async def kill(self, database, upstream, thread_id):
-        """End a session at the upstream, if that can be reached."""
+    async def kill_session(self, database, upstream, thread_id):
+        """Kill a session at the upstream, if that is reachable."""
         with suppress(Exception):
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 conn = await self.connect(database, upstream)
                 try:
-                    await run(conn, f"KILL {int(thread_id)}")
+                    await execute(conn, f"KILL {int(thread_id)}")
                 finally:
                     conn.close()
 
     # Transactions
 
     async def tx_begin(self, action, progress):
-        """Open a transaction on a connection of its own."""
+        """Open a transaction on a dedicated connection."""
         pool = self.pool(action.database, action.upstream)
         pooled = await pool.acquire()
         try:
             await set_session(pooled, read_only=False)
-            await run(pooled.conn, "BEGIN")
+            await execute(pooled.conn, "BEGIN")
         except BaseException:
-            pool.shut(pooled)
+            pool.close_connection(pooled)
             raise
         self.transactions[action.tx] = OpenTransaction(pool=pool, pooled=pooled)
         return Ran(op=action.op, database=action.database, result=Result())
@@ -333,41 +335,41 @@
         return Ran(op=action.op, database=action.database, result=result)
 
     async def tx_commit(self, action, progress):
-        """Enter the ledger row and commit."""
-        held = self.transactions[action.tx]
-        conn = held.pooled.conn
-        earlier = await ledger.enter(conn, action.row, action.holder)
+        """Insert the ledger row and commit."""
+        open_tx = self.transactions[action.tx]
+        conn = open_tx.pooled.conn
+        earlier = await ledger.insert_entry(conn, action.row, action.holder)
         if earlier is not None:
-            await run(conn, "ROLLBACK")
-            position = dialect.end_of_log(await ask_status(conn))
+            await execute(conn, "ROLLBACK")
+            position = dialect.end_of_log(await query_status(conn))
             result = earlier.result
         else:
             position = await ledger.commit(conn, progress)
             result = Result()
         del self.transactions[action.tx]
-        held.pool.release(held.pooled)
+        open_tx.pool.release(open_tx.pooled)
         return Ran(
             op=action.op, database=action.database, result=result, position=position
         )
 
     def tx_abort(self, name):
-        """End a transaction; its connection is closed, which rolls it back."""
-        held = self.transactions.pop(name, None)
-        if held is None:
+        """Abort a transaction by closing its connection."""
+        open_tx = self.transactions.pop(name, None)
+        if open_tx is None:
             return
         for key, pool in self.pools.items():
-            if pool is held.pool:
-                self.discard(pool, held.pooled, *key)
+            if pool is open_tx.pool:
+                self.discard(pool, open_tx.pooled, *key)
 
     # Connections
 
     def pool(self, database, upstream):
-        """The pool of one upstream."""
+        """Return the pool of an upstream."""
         key = (database, upstream)
         if key not in self.pools:
             self.pools[key] = Pool(
                 connect=lambda: self.connect(database, upstream),
-                limit=FIRST_LIMIT,
+                limit=INITIAL_POOL_LIMIT,
                 target=0,
             )
         return self.pools[key]
@@ -387,19 +389,19 @@
 
 
 async def set_session(pooled, *, read_only):
-    """Let a session write or not; costs a round trip only when it changes.
+    """Make a session read only or writable; takes a round trip only on a change.
 
-    What goes wrong without it: a kind declared as a read carries a statement that
-    writes, which no ledger row guards and no majority confirms.
+    Otherwise a kind declared as a read could run a statement that writes, without a
+    ledger row and without confirmation by a majority.
     """
     if pooled.read_only == read_only:
         return
-    await run(
+    await execute(
         pooled.conn, dialect.READ_ONLY_SQL if read_only else dialect.READ_WRITE_SQL
     )
     pooled.read_only = read_only
 
 
-def status_known(action, status):
-    """The event for an upstream's status."""
+def status_event(action, status):
+    """Return the event for an upstream's status."""
     return StatusKnown(op=action.op, database=action.database, status=status)
--- a/packages/upstream/gypsum_upstream/ledger.py
+++ b/packages/upstream/gypsum_upstream/ledger.py
@@ -1,19 +1,19 @@
-"""The request ledger: each write leaves its key in its own transaction."""
+"""The request ledger: each write records its key in its own transaction."""
 
 from dataclasses import dataclass
 
 from gypsum_core.records import Reason, Result
 from gypsum_upstream import dialect
-from gypsum_upstream.dialect import is_duplicate
-from gypsum_upstream.sql import ask_status, run
+from gypsum_upstream.dialect import is_duplicate_key
+from gypsum_upstream.sql import execute, query_status
 
 
 class ClaimLost(Exception):
-    """The claim names another daemon: our table of writers may be incomplete."""
+    """Raised if another daemon holds the claim: the writers known here may be stale."""
 
 
-class Refused(Exception):
-    """The request is refused for good; `reason` says why."""
+class RequestRefused(Exception):
+    """Raised for a permanently refused request; `reason` is its cause."""
 
     def __init__(self, reason, detail):
         super().__init__(detail)
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LedgerEntry:
-    """What the ledger holds for a key."""
+    """The ledger row of a key."""
 
     state: str
     fingerprint: str
@@ -31,20 +31,20 @@
 
     @property
     def done(self):
-        """Tell whether the write took effect."""
+        """Return whether the write was committed."""
         return self.state == dialect.LEDGER_DONE
 
 
 @dataclass(slots=True, kw_only=True)
 class Progress:
-    """How far an attempt got; before its commit was sent it has no effect."""
+    """Progress of an attempt; it has no effect before its commit was sent."""
 
     commit_sent: bool = False
 
 
-async def find(conn, row):
-    """The ledger's entry for a key, or None."""
-    result = await run(conn, dialect.LEDGER_FIND_SQL, (row.member, row.key))
+async def find_entry(conn, row):
+    """Return the ledger entry of a key, or None."""
+    result = await execute(conn, dialect.LEDGER_FIND_SQL, (row.member, row.key))
     if not result.rows:
         return None
     state, fingerprint, affected, last_id = result.rows[0]
@@ -57,54 +57,54 @@
     )
 
 
-async def enter(conn, row, holder):
-    """Put a key into the ledger, within the open transaction.
+async def insert_entry(conn, row, holder):
+    """Insert a key into the ledger, within the open transaction.
 
-    Returns the earlier entry when the key has been run already, else None. A key
-    that was barred may run again: the attempt it was barred against is dead.
+    Returns the earlier entry if the key was run before, else None. A barred key may run
+    again, because the attempt that it was barred against can't commit any more.
     """
     params = (row.member, row.key, row.fingerprint, holder)
     try:
-        result = await run(conn, dialect.LEDGER_INSERT_SQL, params)
+        result = await execute(conn, dialect.LEDGER_INSERT_SQL, params)
     except Exception as exc:
-        if not is_duplicate(exc):
+        if not is_duplicate_key(exc):
             raise
-        return await revive(conn, row, holder)
+        return await reuse_entry(conn, row, holder)
     if result.affected != 1:
         raise ClaimLost(holder)
     return None
 
 
-async def revive(conn, row, holder):
-    """Deal with a key that the ledger holds already."""
-    entry = await find(conn, row)
+async def reuse_entry(conn, row, holder):
+    """Return the finished entry of an existing key, or reuse a barred one."""
+    entry = await find_entry(conn, row)
     if entry is not None and entry.done:
-        check_same(entry, row)
+        check_fingerprint(entry, row)
         return entry
     params = (row.fingerprint, row.member, row.key, holder)
-    result = await run(conn, dialect.LEDGER_REVIVE_SQL, params)
+    result = await execute(conn, dialect.LEDGER_REUSE_SQL, params)
     if result.affected != 1:
         raise ClaimLost(holder)
     return None
 
 
-def check_same(entry, row):
-    """Refuse a key that stood for another request."""
+def check_fingerprint(entry, row):
+    """Refuse a key that was used for a different request."""
     if row.fingerprint and entry.fingerprint != row.fingerprint:
-        raise Refused(
+        raise RequestRefused(
             Reason.KEY_REUSED, "the key was used for a different request before"
         )
 
 
 async def write(conn, statement, row, holder, progress):
-    """Run a write once; returns its result and a position that covers it."""
-    await run(conn, "BEGIN")
-    earlier = await enter(conn, row, holder)
+    """Run a write once; return its result and a log position that includes it."""
+    await execute(conn, "BEGIN")
+    earlier = await insert_entry(conn, row, holder)
     if earlier is not None:
-        await run(conn, "ROLLBACK")
-        return earlier.result, dialect.end_of_log(await ask_status(conn))
-    result = await run(conn, statement.sql, statement.params)
-    await run(
+        await execute(conn, "ROLLBACK")
+        return earlier.result, dialect.end_of_log(await query_status(conn))
+    result = await execute(conn, statement.sql, statement.params)
+    await execute(
         conn,
         dialect.LEDGER_RESULT_SQL,
         (result.affected, result.last_id, row.member, row.key),
@@ -113,26 +113,26 @@
 
 
 async def commit(conn, progress):
-    """Commit; returns a position at or after the transaction's own."""
+    """Commit; return a log position at or after the transaction's own."""
     progress.commit_sent = True
-    await run(conn, "COMMIT")
-    return dialect.end_of_log(await ask_status(conn))
+    await execute(conn, "COMMIT")
+    return dialect.end_of_log(await query_status(conn))
 
 
 async def settle(conn, row, progress):
-    """Make a key's outcome final: its result, or None once it is barred.
+    """Make a key's outcome final; return its result, or None if it is now barred.
 
-    A barred key makes a late attempt fail on the ledger's unique key, so that
-    "not run" stays true whatever still travels.
+    A delayed attempt with a barred key violates the ledger's unique key and fails, so
+    the outcome "not run" stays true for messages that are still in transit.
     """
     try:
         progress.commit_sent = True
-        await run(conn, dialect.LEDGER_BAR_SQL, (row.member, row.key))
+        await execute(conn, dialect.LEDGER_BAR_SQL, (row.member, row.key))
     except Exception as exc:
-        if not is_duplicate(exc):
+        if not is_duplicate_key(exc):
             raise
-    entry = await find(conn, row)
+    entry = await find_entry(conn, row)
     if entry is None:
         raise LookupError(f"ledger row {row.key} vanished")
     result = entry.result if entry.done else None
-    return result, dialect.end_of_log(await ask_status(conn))
+    return result, dialect.end_of_log(await query_status(conn))
--- a/packages/upstream/gypsum_upstream/pool.py
+++ b/packages/upstream/gypsum_upstream/pool.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-CONNECTS_AT_ONCE = 2
-WARM_RETRY = 0.5
+MAX_CONCURRENT_CONNECTS = 2
+WARM_RETRY_DELAY = 0.5
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Pooled:
-    """A pooled connection, its generation and whether its session may write."""
+class PooledConn:
+    """A pooled connection, its generation and whether its session is read only."""
 
     conn: Any
     generation: int
@@ -22,9 +22,9 @@
 class Pool:
     """Connections to one upstream, never more than `limit` at once.
 
-    Opening costs tens of milliseconds, so `target` connections are kept open
-    before they are needed, and only a few are opened at a time: a mass of
-    requests after a promotion must not become a mass of connects.
+    Opening a connection takes tens of milliseconds, so `target` connections are opened
+    in advance. The number of concurrent connects is limited, so that a burst of
+    requests after a promotion does not become a burst of connects.
     """
 
     def __init__(self, *, connect: Callable[[], Awaitable[Any]], limit, target):
@@ -32,122 +32,122 @@
         self.limit = limit
         self.target = target
         self.idle = deque()
-        self.opened = 0
+        self.open_count = 0
         self.peak = 0
         self.waits = 0
         self.generation = 0
         self.waiters = deque()
-        self.gate = asyncio.Semaphore(CONNECTS_AT_ONCE)
-        self.warming = None
+        self.connect_semaphore = asyncio.Semaphore(MAX_CONCURRENT_CONNECTS)
+        self.warm_task = None
         self.closed = False
 
     def resize(self, *, limit, target):
-        """Take other bounds; surplus connections close as they come back."""
+        """Set the bounds; surplus connections are closed when they are released."""
         self.limit = limit
         self.target = target
-        while self.idle and self.opened > limit:
-            self.shut(self.idle.popleft())
+        while self.idle and self.open_count > limit:
+            self.close_connection(self.idle.popleft())
         self.warm()
 
     async def acquire(self, *, read_only=False):
-        """An open connection, if possible one whose session is set as asked.
+        """Return an open connection, preferably with the requested session mode.
 
-        Waits for one when the limit is reached.
+        Waits while the limit is reached.
         """
         if self.idle:
             return self.take_idle(read_only)
         self.waits += 1
-        if self.opened < self.limit:
-            return await self.open()
-        fut = asyncio.get_running_loop().create_future()
-        self.waiters.append(fut)
+        if self.open_count < self.limit:
+            return await self.open_connection()
+        waiter = asyncio.get_running_loop().create_future()
+        self.waiters.append(waiter)
         try:
-            pooled = await fut
+            pooled = await waiter
         except asyncio.CancelledError:
-            if fut.done() and not fut.cancelled() and fut.result() is not None:
-                self.release(fut.result())
+            if waiter.done() and not waiter.cancelled() and waiter.result() is not None:
+                self.release(waiter.result())
             raise
-        return pooled if pooled is not None else await self.open()
+        return pooled if pooled is not None else await self.open_connection()
 
     def take_idle(self, read_only):
-        """The last used idle connection of the wanted setting, else any."""
+        """Return the most recently used idle connection, if possible of this mode."""
         for pooled in reversed(self.idle):
             if pooled.read_only == read_only:
                 self.idle.remove(pooled)
                 return pooled
         return self.idle.pop()
 
-    async def open(self):
-        """Open one more connection; it counts from now on."""
-        self.opened += 1
-        self.peak = max(self.peak, self.opened)
+    async def open_connection(self):
+        """Open a connection; it counts towards the limit while it connects."""
+        self.open_count += 1
+        self.peak = max(self.peak, self.open_count)
         generation = self.generation
         try:
-            async with self.gate:
+            async with self.connect_semaphore:
                 conn = await self.connect()
         except BaseException:
-            self.opened -= 1
-            self.wake()
+            self.open_count -= 1
+            self.wake_waiter()
             raise
-        return Pooled(conn=conn, generation=generation)
+        return PooledConn(conn=conn, generation=generation)
 
     def release(self, pooled):
-        """Take a connection back in good order."""
+        """Return a usable connection to the pool or hand it to a waiter."""
         outdated = pooled.generation != self.generation
-        if self.closed or outdated or self.opened > self.limit:
-            self.shut(pooled)
+        if self.closed or outdated or self.open_count > self.limit:
+            self.close_connection(pooled)
             return
         while self.waiters:
-            fut = self.waiters.popleft()
-            if not fut.done():
-                fut.set_result(pooled)
+            waiter = self.waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(pooled)
                 return
         self.idle.append(pooled)
 
-    def shut(self, pooled):
-        """Close a connection for good; never reused after an abnormal end."""
-        self.opened -= 1
+    def close_connection(self, pooled):
+        """Close a connection, as after any error that leaves its state unknown."""
+        self.open_count -= 1
         pooled.conn.close()
-        self.wake()
+        self.wake_waiter()
         self.warm()
 
-    def wake(self):
-        """Let a waiter open a connection in the room that has come free."""
-        while self.waiters and self.opened < self.limit:
-            fut = self.waiters.popleft()
-            if not fut.done():
-                fut.set_result(None)
+    def wake_waiter(self):
+        """Let the next waiter open a connection if the limit allows it."""
+        while self.waiters and self.open_count < self.limit:
+            waiter = self.waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
-    def drop_idle(self):
-        """Close what is idle; what is in use closes when it comes back.
+    def close_idle(self):
+        """Close idle connections; those in use are closed when released.
 
-        Open connections can go silent for good while new ones work: a reused
-        one would swallow a request until its deadline.
+        Open connections can become silent permanently while new ones work. A reused one
+        would block a request until its deadline.
         """
         self.generation += 1
         while self.idle:
-            self.shut(self.idle.popleft())
+            self.close_connection(self.idle.popleft())
 
     def warm(self):
-        """Open connections in the background up to the target."""
-        if self.closed or (self.warming and not self.warming.done()):
+        """Start opening connections in the background up to the target."""
+        if self.closed or (self.warm_task and not self.warm_task.done()):
             return
-        if self.opened < min(self.target, self.limit):
-            self.warming = asyncio.ensure_future(self.fill())
+        if self.open_count < min(self.target, self.limit):
+            self.warm_task = asyncio.ensure_future(self.open_to_target())
 
-    async def fill(self):
-        """Open one connection after the other until the target is met."""
-        while not self.closed and self.opened < min(self.target, self.limit):
+    async def open_to_target(self):
+        """Open connections one at a time until the target is reached."""
+        while not self.closed and self.open_count < min(self.target, self.limit):
             try:
-                self.release(await self.open())
+                self.release(await self.open_connection())
             except Exception:
-                # The upstream is away; probes report that, here we only wait.
-                await asyncio.sleep(WARM_RETRY)
+                # The upstream is unreachable. Probes report that; only retry here.
+                await asyncio.sleep(WARM_RETRY_DELAY)
 
     def close(self):
-        """Close everything that is idle; the rest closes when it comes back."""
+        """Close idle connections; those in use are closed when released."""
         self.closed = True
-        if self.warming:
-            self.warming.cancel()
-        self.drop_idle()
+        if self.warm_task:
+            self.warm_task.cancel()
+        self.close_idle()
--- a/packages/upstream/gypsum_upstream/sql.py
+++ b/packages/upstream/gypsum_upstream/sql.py
@@ -1,12 +1,12 @@
 """Running statements on one connection."""
 
 from gypsum_core.records import Result
-from gypsum_upstream.dialect import STATUS_SQL, read_status
+from gypsum_upstream.dialect import STATUS_SQL, parse_status
 from gypsum_upstream.values import plain_rows
 
 
-async def run(conn, sql, params=()):
-    """Run one statement and read its whole answer."""
+async def execute(conn, sql, params=()):
+    """Run a statement and read its whole result."""
     async with conn.cursor() as cursor:
         await cursor.execute(sql, params or None)
         columns = tuple(item[0] for item in cursor.description or ())
@@ -19,7 +19,7 @@
         )
 
 
-async def ask_status(conn, sql=STATUS_SQL, params=()):
-    """Run a group verb and read the status that it answers with."""
-    result = await run(conn, sql, params)
-    return read_status(result.rows[0])
+async def query_status(conn, sql=STATUS_SQL, params=()):
+    """Run a group command and parse the status that it returns."""
+    result = await execute(conn, sql, params)
+    return parse_status(result.rows[0])
--- a/packages/upstream/gypsum_upstream/values.py
+++ b/packages/upstream/gypsum_upstream/values.py
@@ -1,11 +1,11 @@
-"""Column values in a form that JSON and CBOR carry alike."""
+"""Conversion of column values to types that both JSON and CBOR can encode."""
 
 from datetime import date, datetime, time, timedelta
 from decimal import Decimal
 
 
 def plain_value(value):
-    """A column value as a string, number, boolean or None."""
+    """Convert a column value to a string, number, boolean or None."""
     if value is None or isinstance(value, str | int | float):
         return value
     if isinstance(value, Decimal | timedelta):
@@ -18,5 +18,5 @@
 
 
 def plain_rows(rows):
-    """All rows of an answer in plain values."""
+    """Convert all rows of a result to plain values."""
     return tuple(tuple(plain_value(value) for value in row) for row in rows)
