--- a/packages/daemon/gypsum_daemon/__init__.py
+++ b/packages/daemon/gypsum_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""gypsumhitchd: the shell around the decision logic."""
+"""gypsumhitchd: the process that runs the decision logic."""
--- a/packages/daemon/gypsum_daemon/bodies.py
+++ b/packages/daemon/gypsum_daemon/bodies.py
@@ -1,10 +1,10 @@
-"""What callers may send, checked at the border."""
+"""Models of the callers' request bodies."""
 
 from typing import Annotated
 
 from pydantic import Field
 
-from gypsum_model.base import BorderModel, Name
+from gypsum_model.base import Name, StrictModel
 
 Scalar = str | int | float | bool | None
 Sql = Annotated[str, Field(min_length=1, max_length=1 << 20)]
@@ -13,8 +13,8 @@
 DatabaseName = Name
 
 
-class QueryBody(BorderModel):
-    """A single statement of a kind."""
+class QueryBody(StrictModel):
+    """Body of a single statement of a kind."""
 
     kind: KindName
     member: MemberName
@@ -22,22 +22,22 @@
     params: Annotated[tuple[Scalar, ...], Field(max_length=10_000)] = ()
 
 
-class BeginBody(BorderModel):
-    """Open a transaction of a kind."""
+class BeginBody(StrictModel):
+    """Body that opens a transaction of a kind."""
 
     kind: KindName
     member: MemberName
 
 
-class TxQueryBody(BorderModel):
-    """A statement inside an open transaction."""
+class TxQueryBody(StrictModel):
+    """Body of a statement inside an open transaction."""
 
     member: MemberName
     sql: Sql
     params: Annotated[tuple[Scalar, ...], Field(max_length=10_000)] = ()
 
 
-class EndBody(BorderModel):
-    """Commit or roll back an open transaction."""
+class EndBody(StrictModel):
+    """Body of a commit or rollback."""
 
     member: MemberName
--- a/packages/daemon/gypsum_daemon/callers.py
+++ b/packages/daemon/gypsum_daemon/callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface, version 1."""
+"""The HTTP API for callers, version 1."""
 
 import json
 import time
@@ -24,7 +24,7 @@
 
 @stream_request_body
 class CallerHandler(RequestHandler):
-    """What all callers' requests share: size bound, checks, answers."""
+    """Base handler: body size limit, checks, responses."""
 
     def initialize(self, context):
         """Keep the context that all handlers of a daemon share."""
@@ -35,11 +35,10 @@
         self.started_at = time.monotonic()
 
     def data_received(self, chunk):
-        """Collect the body up to the bound, discard what is over it.
+        """Collect the body up to the limit, discard any excess.
 
-        What goes wrong otherwise: an answer before the end of the body closes the
-        connection under the caller's hands, and the caller sees a reset instead of
-        the reason.
+        A response before the end of the body would close the connection while the
+        caller still sends, and the caller would see a reset instead of the error.
         """
         self.size += len(chunk)
         if self.size > self.context.max_body:
@@ -48,7 +47,7 @@
         self.chunks.append(chunk)
 
     def check_size(self):
-        """Refuse a body that was over the bound."""
+        """Reject a body that exceeded the limit."""
         if self.size > self.context.max_body:
             raise bad_request(
                 f"the body is larger than {self.context.max_body} bytes",
@@ -56,14 +55,14 @@
             )
 
     def parse_body(self, model):
-        """The body as a checked model."""
+        """Parse and validate the body."""
         try:
             return parse_model(model, b"".join(self.chunks), source="body")
         except UserError as exc:
             raise bad_request(exc.message) from None
 
     async def respond(self, build, *args):
-        """Build a request, have it answered, write the answer."""
+        """Build a request, submit it and write its response."""
         try:
             self.check_size()
             self.context.check_ready()
@@ -83,7 +82,7 @@
         self.write_answer(answer)
 
     def set_session_header(self, req, answer):
-        """Give the session token back: the new one, or the one shown."""
+        """Return the new session token, or else the one that the caller sent."""
         if answer.position is not None:
             token = encode_token(
                 answer.position,
@@ -96,7 +95,7 @@
             self.set_header(SESSION_HEADER, self.request.headers[SESSION_HEADER])
 
     def write_answer(self, answer):
-        """Write a successful answer, whole."""
+        """Write the response to a successful request."""
         result = answer.result
         position = answer.position
         self.set_header("Content-Type", "application/json")
@@ -120,7 +119,7 @@
         )
 
     def write_problem(self, problem):
-        """Write a failure."""
+        """Write an error response."""
         self.set_status(problem.status)
         self.set_header("Content-Type", CONTENT_TYPE)
         if problem.retry_after():
@@ -128,7 +127,7 @@
         self.finish(json.dumps(problem.body()))
 
     def write_error(self, status_code, **kwargs):
-        """Tornado's own errors in the same form."""
+        """Write Tornado's own errors as problem documents."""
         problem = Problem(
             status=status_code,
             reason=str(Reason.BAD_REQUEST),
@@ -137,14 +136,14 @@
         self.write_problem(problem)
 
     def on_connection_close(self):
-        """The caller hung up."""
+        """Cancel the request: the caller closed the connection."""
         super().on_connection_close()
         self.context.shell.caller_disconnected(self.request_id)
 
     # Building requests
 
     def make_request(self, verb, database, member, **fields):
-        """A request from the headers and what its body said."""
+        """Make a request from the headers and the fields of the body."""
         self.context.check_member(
             database, member, self.request.headers.get(MEMBER_KEY_HEADER, "")
         )
@@ -168,7 +167,7 @@
         )
 
     def deadline_ms(self, database, kind):
-        """The caller's deadline, else its kind's."""
+        """Return the caller's deadline, or else the kind's, in milliseconds."""
         header = self.request.headers.get(DEADLINE_HEADER)
         if header is None:
             return self.context.default_deadline_ms(database, kind)
@@ -181,7 +180,7 @@
         return value
 
     def session_position(self, database, member):
-        """The position that the session token proves, or None without one."""
+        """Return the log position of the session token, or None without one."""
         token = self.request.headers.get(SESSION_HEADER, "")
         if not token:
             return None
@@ -201,7 +200,7 @@
         await self.respond(self.build_request, database)
 
     def build_request(self, database):
-        """The request for a statement."""
+        """Build the request for a statement."""
         body = self.parse_body(QueryBody)
         return self.make_request(
             Verb.QUERY,
@@ -220,7 +219,7 @@
         await self.respond(self.build_request, database)
 
     def build_request(self, database):
-        """The request that opens a transaction."""
+        """Build the request that opens a transaction."""
         body = self.parse_body(BeginBody)
         return self.make_request(Verb.BEGIN, database, body.member, kind=body.kind)
 
@@ -233,7 +232,7 @@
         await self.respond(self.build_request, database, tx)
 
     def build_request(self, database, tx):
-        """The request for a statement of a transaction."""
+        """Build the request for a statement of a transaction."""
         body = self.parse_body(TxQueryBody)
         statement = Statement(sql=body.sql, params=body.params)
         return self.make_request(
@@ -249,7 +248,7 @@
         await self.respond(self.build_request, database, tx, verb)
 
     def build_request(self, database, tx, verb):
-        """The request that ends a transaction."""
+        """Build the request that ends a transaction."""
         body = self.parse_body(EndBody)
         return self.make_request(Verb(verb), database, body.member, tx=tx)
 
@@ -258,11 +257,11 @@
     """`GET /v1/DATABASE/outcomes/KEY?member=NAME`."""
 
     async def get(self, database, key):
-        """Make a key's outcome final and tell it."""
+        """Make a key's outcome final and return it."""
         await self.respond(self.build_request, database, key)
 
     def build_request(self, database, key):
-        """The request that settles a key."""
+        """Build the request that settles a key."""
         member = self.get_query_argument("member", "")
         if not member:
             raise bad_request("the query needs member=NAME")
@@ -271,7 +270,7 @@
 
 
 def make_application(context):
-    """The callers' application."""
+    """Create the web application for callers."""
     database = r"/v1/([a-z0-9_-]{1,63})"
     tx = database + r"/transactions/([a-z0-9_.-]{1,128})"
     shared = {"context": context}
@@ -289,10 +288,10 @@
 
 
 class NotFoundHandler(RequestHandler):
-    """Any other path."""
+    """Handler for unknown paths."""
 
     def prepare(self):
-        """Answer 404 in the common form."""
+        """Respond with 404 and a problem document."""
         problem = Problem(
             status=HTTPStatus.NOT_FOUND,
             reason=str(Reason.BAD_REQUEST),
--- a/packages/daemon/gypsum_daemon/feed.py
+++ b/packages/daemon/gypsum_daemon/feed.py
@@ -1,4 +1,4 @@
-"""What the daemon learns from the platform, and the little it tells it."""
+"""Reads instances and manifests from the platform and records the leader status."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class PlatformFeed:
-    """Keeps the node informed; an outage of the platform only slows it."""
+    """Passes the platform's state to the node; an outage only delays updates."""
 
     def __init__(self, *, shell, client, settings):
         self.shell = shell
@@ -33,7 +33,7 @@
         self.tasks = set()
 
     def start(self):
-        """Start watching; seeds stand in for the list until it is known."""
+        """Start watching; the seeds are used until the instance list is loaded."""
         if self.settings.seeds:
             self.shell.handle_event(InstancesListed(instances=self.seed_instances()))
         self.shell.record_status = self.record_status
@@ -41,13 +41,13 @@
             self.spawn(watch())
 
     def spawn(self, coroutine):
-        """Run something beside the loop until it ends or we stop."""
+        """Run a coroutine as a task that `stop` cancels."""
         task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def seed_instances(self):
-        """The seeds and this daemon as instances."""
+        """Return the seeds and this daemon as instances."""
         own = Instance(
             id=self.settings.daemon,
             role=InstanceRole.DAEMON,
@@ -71,10 +71,10 @@
             task.cancel()
 
     async def poll_instances(self):
-        """Read the instance list once, and at intervals while we watch.
+        """Read the instance list once, and at intervals while this daemon watches.
 
-        What goes wrong if everyone reads it: the platform's calls grow with the
-        fleet, and 4,000 daemons ask for more than it answers.
+        If every daemon polled it, the calls would grow with the fleet: 4,000 daemons
+        would send more than the platform can answer.
         """
         while True:
             if self.shell.node.reads_list():
@@ -86,26 +86,26 @@
         try:
             listing = await self.client.list_instances()
         except (PlatformError, HTTPClientError) as exc:
-            logs.write(PART, f"no instance list: {exc}")
+            logs.write(PART, f"cannot read the instance list: {exc}")
             return
         self.shell.handle_event(
             InstancesListed(instances=listing.instances, revision=listing.revision)
         )
 
     async def watch_manifests(self):
-        """Load all manifests once, then watch while it is our turn to."""
+        """Load all manifests, then watch them while this daemon is a watcher."""
         delay = MIN_RETRY_DELAY
         while True:
             try:
                 await self.update_manifests()
                 delay = MIN_RETRY_DELAY
             except (PlatformError, HTTPClientError, KeyError) as exc:
-                logs.write(PART, f"no manifests: {exc}")
+                logs.write(PART, f"cannot read the manifests: {exc}")
                 await asyncio.sleep(delay)
                 delay = min(MAX_RETRY_DELAY, 2 * delay)
 
     async def update_manifests(self):
-        """One call: the first listing, a watch, or a rest."""
+        """List the manifests, wait for changes, or sleep if others watch."""
         if not self.loaded:
             listing = await self.client.list_objects(DATABASES)
             self.apply_listing(listing, complete=True)
@@ -116,11 +116,11 @@
             )
             self.apply_listing(listing, complete=False)
         else:
-            # Others watch for us and pass changes on.
+            # Other daemons watch and forward changes.
             await asyncio.sleep(IDLE_CHECK_INTERVAL)
 
     def apply_listing(self, listing, *, complete):
-        """Hand a listing over; the revision only rises, as answers may be old."""
+        """Apply a listing; the revision never decreases, as responses may be stale."""
         self.revision = max(self.revision, listing.revision)
         entries = tuple(
             ManifestEntry(database=item.name, version=item.version, body=item.body)
@@ -129,11 +129,11 @@
         self.shell.handle_manifests(entries, source=SOURCE, complete=complete)
 
     def record_status(self, action):
-        """Write who leads into the status object, best effort."""
+        """Write the leader into the status object, best effort."""
         self.spawn(self.put_status(action))
 
     async def put_status(self, action):
-        """Write the status unless a later term stands there already."""
+        """Write the status unless the stored one has a later term."""
         body = json.dumps(
             {
                 "primary": action.primary,
--- a/packages/daemon/gypsum_daemon/logs.py
+++ b/packages/daemon/gypsum_daemon/logs.py
@@ -1,4 +1,4 @@
-"""Logging: short sentences with a prefix for each part, as text or JSON lines."""
+"""Logging with a prefix for each part, as text or JSON lines."""
 
 import json
 import sys
@@ -9,7 +9,7 @@
 
 
 class JsonFormatter(Formatter):
-    """One JSON object a line: time, level, part, text."""
+    """Formats a record as a JSON object with time, level, part and text."""
 
     def format(self, record):
         """Format a record; the prefix before the first colon is the part."""
@@ -25,7 +25,7 @@
 
 
 def configure(log_format):
-    """Send logs to standard error in the chosen form."""
+    """Send logs to standard error as text or JSON."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     handler = logging.get_absl_handler()
@@ -35,5 +35,5 @@
 
 
 def write(part, text):
-    """Write one line."""
+    """Write a log line."""
     logging.info("%s: %s", part, text)
--- a/packages/daemon/gypsum_daemon/main.py
+++ b/packages/daemon/gypsum_daemon/main.py
@@ -76,7 +76,7 @@
 
 
 def listen(server, address):
-    """Bind a server; returns its port."""
+    """Bind a server and return its port."""
     try:
         sockets = bind_sockets(address.port, address.host)
     except OSError as exc:
@@ -86,7 +86,7 @@
 
 
 async def listen_for_peers(shell, address):
-    """Accept links of other daemons; returns the port."""
+    """Listen for links of other daemons and return the port."""
     try:
         return await shell.links.listen(address.host, address.port)
     except OSError as exc:
@@ -94,7 +94,7 @@
 
 
 def listen_error(address, exc):
-    """The error for an address that cannot be bound."""
+    """Return the error for an address that cannot be bound."""
     return UserError(
         f"cannot listen: {exc.strerror or exc}",
         step="start",
@@ -103,14 +103,14 @@
 
 
 def install_signal_handlers(shell):
-    """SIGTERM and SIGINT begin the graceful shutdown."""
+    """Drain the daemon on SIGTERM and SIGINT."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shell.drain)
 
 
 def print_ready(settings, ports):
-    """Say on standard output that the daemon is up, and where."""
+    """Print to standard output that the daemon is ready, and its ports."""
     print(
         f"ready {settings.daemon} callers={ports.callers} peers={ports.peers} "
         f"operators={ports.operators}",
@@ -119,10 +119,10 @@
 
 
 async def shut_down(shell, feed, caller_server, operator_server):
-    """Close everything after the last answer was handed out.
+    """Close all components after the last response was written.
 
-    Each part is closed whatever became of the others; what failed is raised
-    together, so that one broken part does not hide another.
+    All are closed even if some fail, and the errors are raised together, so that
+    one doesn't hide another.
     """
     caller_server.stop()
     operator_server.stop()
@@ -138,7 +138,7 @@
 
 
 async def wait_for_pending_requests(shell):
-    """Wait, within a bound, for requests that came while the listener closed."""
+    """Wait up to 10 s for requests that arrived while the listener closed."""
     for _ in range(MAX_SHUTDOWN_POLLS):
         if not shell.pending:
             return
@@ -146,7 +146,7 @@
 
 
 def run(command):
-    """Load the settings and serve; returns the exit code."""
+    """Load the settings and serve; return the exit code."""
     try:
         settings = load_settings(command.settings)
         if command.check:
--- a/packages/daemon/gypsum_daemon/metrics.py
+++ b/packages/daemon/gypsum_daemon/metrics.py
@@ -1,7 +1,7 @@
 """Metrics: histograms for each member and kind, counters, gauges of homes.
 
-Label values come from the manifest, which bounds their number; a request that
-names neither a known member nor a known kind is counted under "other".
+Label values come from the manifest, which bounds their number. Unknown members and
+unknown kinds are counted under "other".
 """
 
 from aioprometheus import Counter, Gauge, Histogram, Registry
@@ -12,7 +12,7 @@
 
 
 class Metrics:
-    """All metrics of one daemon, in a registry of its own."""
+    """All metrics of one daemon, in a separate registry."""
 
     def __init__(self):
         self.registry = Registry()
@@ -56,7 +56,7 @@
         )
 
     def record_answer(self, request, spec, answer, seconds):
-        """Count one answer to a caller."""
+        """Record an answer to a caller."""
         known = spec is not None
         member = request.member if known else OTHER_LABEL
         kind = request.kind if known else OTHER_LABEL
@@ -75,7 +75,7 @@
         )
 
     def collect_homes(self, boards):
-        """Refresh the gauges from the homes' boards."""
+        """Update the gauges from the homes' boards."""
         for board in boards:
             name = {"database": board.database}
             self.reads.set({**name, "at": "replica", "why": ""}, board.reads_replica)
@@ -90,7 +90,7 @@
                 self.lag.set({**name, "upstream": upstream.id}, upstream.lag_ms)
 
     def collect_pools(self, pools):
-        """Refresh the gauges of connections from the pools by (database, upstream)."""
+        """Update the connection gauges; `pools` is keyed by (database, upstream)."""
         for (database, upstream), pool in pools.items():
             labels = {"database": database, "upstream": upstream}
             self.connections.set({**labels, "what": "open"}, pool.open_count)
@@ -98,5 +98,5 @@
             self.connections.set({**labels, "what": "waits"}, pool.waits)
 
     def render(self, accept_headers):
-        """The metrics in Prometheus' text form."""
+        """Return the metrics in the Prometheus text format."""
         return render(self.registry, accept_headers)
--- a/packages/daemon/gypsum_daemon/operators.py
+++ b/packages/daemon/gypsum_daemon/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: health, metrics, explain, drain."""
+"""The HTTP API for operators: health, metrics, explain, drain."""
 
 import json
 from dataclasses import asdict
@@ -8,33 +8,33 @@
 
 
 class OperatorHandler(RequestHandler):
-    """What the operators' handlers share."""
+    """Base handler of the operators' API."""
 
     def initialize(self, shell, metrics):
-        """Take the daemon's shell and metrics."""
+        """Keep the daemon's shell and metrics."""
         self.shell = shell
         self.metrics = metrics
 
     def write_json(self, data, status=HTTPStatus.OK):
-        """Answer with JSON."""
+        """Write a JSON response."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(json.dumps(data))
 
 
 class LiveHandler(OperatorHandler):
-    """`GET /health/live`: the loop turns."""
+    """`GET /health/live`: the event loop runs."""
 
     def get(self):
-        """Answer at once."""
+        """Respond immediately."""
         self.write_json({"live": True})
 
 
 class ReadyHandler(OperatorHandler):
-    """`GET /health/ready`: callers may be sent here."""
+    """`GET /health/ready`: whether the daemon accepts callers."""
 
     def get(self):
-        """200 when manifests are known and no drain runs, else 503."""
+        """Respond with 200 if ready and not draining, else with 503."""
         ready = self.shell.node.ready
         status = HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         node = self.shell.node
@@ -42,10 +42,10 @@
 
 
 class MetricsHandler(OperatorHandler):
-    """`GET /metrics`: Prometheus' text form."""
+    """`GET /metrics`: the Prometheus text format."""
 
     def get(self):
-        """Refresh the gauges and write everything."""
+        """Update the gauges and write all metrics."""
         homes = self.shell.node.homes.values()
         self.metrics.collect_homes([item.describe() for item in homes])
         self.metrics.collect_pools(self.shell.executor.pools)
@@ -56,10 +56,10 @@
 
 
 class ExplainHandler(OperatorHandler):
-    """`GET /explain/DATABASE`: home, term, positions, lag, queues, and why."""
+    """`GET /explain/DATABASE`: home, term, positions, lag, queues, reasons."""
 
     def get(self, database):
-        """Describe one database as this daemon sees it."""
+        """Describe this daemon's view of a database."""
         node = self.shell.node
         item = node.home(database)
         if item is None:
@@ -77,7 +77,7 @@
 
 
 class VersionsHandler(OperatorHandler):
-    """`GET /manifests`: the versions in force here."""
+    """`GET /manifests`: the manifest versions in force."""
 
     def get(self):
         """List databases with their versions."""
@@ -99,13 +99,13 @@
     """`POST /drain`: shut down gracefully."""
 
     def post(self):
-        """Start the drain; the process exits by itself when it is over."""
+        """Start the drain; the process exits when it is complete."""
         self.shell.drain()
         self.write_json({"draining": True}, HTTPStatus.ACCEPTED)
 
 
 def make_application(shell, metrics):
-    """The operators' application."""
+    """Create the web application for operators."""
     shared = {"shell": shell, "metrics": metrics}
     return Application(
         [
--- a/packages/daemon/gypsum_daemon/problems.py
+++ b/packages/daemon/gypsum_daemon/problems.py
@@ -1,4 +1,4 @@
-"""Failures as `application/problem+json` (RFC 9457)."""
+"""Errors as `application/problem+json` (RFC 9457)."""
 
 import math
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """One failure as the caller sees it."""
+    """An error as returned to the caller."""
 
     status: int
     reason: str
@@ -34,7 +34,7 @@
     retry_after_s: float = 0.0
 
     def body(self):
-        """The JSON form."""
+        """Return the JSON document."""
         return {
             "type": f"{TYPE_PREFIX}{self.reason}",
             "title": HTTPStatus(self.status).phrase,
@@ -48,12 +48,12 @@
         }
 
     def retry_after(self):
-        """Whole seconds for Retry-After; empty when coming back does not help."""
+        """Return whole seconds for Retry-After; empty if a retry does not help."""
         return str(math.ceil(self.retry_after_s)) if self.retry_after_s > 0 else ""
 
 
 def make_problem(answer):
-    """The problem that an unsuccessful answer stands for."""
+    """Convert an unsuccessful answer into a problem."""
     unavailable = HTTPStatus.SERVICE_UNAVAILABLE
     status = STATUS_BY_REASON.get(answer.reason, unavailable)
     if answer.outcome is Outcome.UNKNOWN:
--- a/packages/daemon/gypsum_daemon/shell.py
+++ b/packages/daemon/gypsum_daemon/shell.py
@@ -1,4 +1,4 @@
-"""The shell: carries out the decision logic's actions, feeds it events."""
+"""Connects the decision logic to I/O: passes events in, executes its actions."""
 
 import asyncio
 import random
@@ -30,7 +30,10 @@
 
 
 class Shell:
-    """One daemon's node with its clock, sockets and timers."""
+    """One daemon's node with its clock, sockets and timers.
+
+    The imperative shell around the decision logic, which does no I/O itself.
+    """
 
     def __init__(self, *, settings):
         self.settings = settings
@@ -73,63 +76,65 @@
             actions.Exit: self.exit,
         }
 
-    # Events in
+    # Events
 
     def start(self):
-        """Begin with the node's first actions."""
+        """Start the node."""
         self.execute_actions(self.node.start(time.monotonic()))
 
     def handle_event(self, event):
-        """Give the node an event and carry out what it asks for."""
+        """Pass an event to the node and execute the resulting actions."""
         self.execute_actions(self.node.handle(event, time.monotonic()))
 
     def message_arrived(self, peer, message):
-        """A peer's message; manifests in it pass the border checks first."""
+        """Handle a peer's message; manifests in it are validated first."""
         if isinstance(message, Changes):
             self.handle_changes(peer, message)
             return
         self.handle_event(PeerMessage(peer=peer, message=message))
 
     def handle_changes(self, peer, changes):
-        """Take in manifests that a peer holds in force."""
+        """Apply manifests that a peer has in force."""
         self.handle_manifests(changes.entries, source=peer, complete=changes.complete)
 
     def handle_manifests(self, entries, *, source, complete):
-        """Check manifests and put the newer ones in force."""
+        """Validate manifests and pass the valid ones to the node."""
         checked = []
         for entry in entries:
             try:
                 checked.append(validate_entry(entry))
             except UserError as exc:
-                logs.write("manifest", f"{entry.database}: left out: {exc}")
+                logs.write(
+                    "manifest", f"{entry.database}: invalid manifest ignored: {exc}"
+                )
         self.handle_event(
             ManifestsSeen(manifests=tuple(checked), source=source, complete=complete)
         )
 
     def link_lost(self, peer):
-        """A link broke."""
+        """Tell the node that a link was lost."""
         self.handle_event(PeerLost(peer=peer))
 
     def submit(self, request):
-        """Submit a caller's request; the future holds its answer."""
+        """Submit a caller's request; return the future of its answer."""
         fut = self.loop.create_future()
         self.pending[request.id] = fut
         self.handle_event(CallerRequest(request=request))
         return fut
 
     def caller_disconnected(self, request_id):
-        """A caller hung up."""
+        """Cancel the request of a caller that closed its connection."""
         if self.pending.pop(request_id, None) is not None:
             self.handle_event(CallerGone(request=request_id))
 
     def drain(self):
-        """Begin the graceful shutdown."""
+        """Start the graceful shutdown."""
         self.handle_event(DrainAsked())
 
-    # Actions out
+    # Actions
 
     def execute_actions(self, actions_to_execute):
-        """Carry out actions in order."""
+        """Execute actions in order."""
         for action in actions_to_execute:
             handler = self.handlers.get(type(action), self.executor.start)
             handler(action)
@@ -139,13 +144,13 @@
         self.links.send(action.peer, action.message)
 
     def reply(self, action):
-        """Answer a caller that still waits."""
+        """Complete a pending request."""
         fut = self.pending.pop(action.answer.request, None)
         if fut is not None and not fut.done():
             fut.set_result(action.answer)
 
     def set_timer(self, action):
-        """Wake the node later."""
+        """Schedule a timer event."""
         self.loop.call_at(
             self.loop.time() + max(0.0, action.at - time.monotonic()),
             self.handle_event,
@@ -161,17 +166,17 @@
         self.links.reset(action.peer)
 
     def record_leader_status(self, action):
-        """Tell the platform who leads, best effort."""
+        """Record the leader at the platform, best effort."""
         self.record_status(action)
 
     def exit(self, action):
-        """The drain is over."""
+        """Signal that the drain is complete."""
         self.exited.set()
 
     # Addresses
 
     def peer_address(self, peer):
-        """Where a daemon listens for links, from the list or the seeds."""
+        """Return a daemon's link address, from the instance list or the seeds."""
         instance = self.node.daemon_by_id.get(peer)
         if instance is not None:
             return instance.address
@@ -181,7 +186,7 @@
         return ""
 
     def upstream_address(self, database, upstream):
-        """Where an upstream listens, from the manifest in force."""
+        """Return an upstream's address, from the manifest in force."""
         spec = self.node.spec(database).upstream_by_id[upstream]
         return spec.host, spec.port
 
@@ -192,10 +197,12 @@
 
 
 def validate_entry(entry: ManifestEntry):
-    """A manifest that passed the border checks, or UserError."""
+    """Validate a manifest; raises UserError if it is invalid."""
     manifest = parse_manifest(entry.body, source=entry.database)
     if manifest.database != entry.database:
         raise UserError(
-            f"names database {manifest.database!r}", step="check", peer=entry.database
+            f"manifest is for database {manifest.database!r}",
+            step="check",
+            peer=entry.database,
         )
     return AcceptedManifest(spec=spec_of(manifest, version=entry.version), entry=entry)
--- a/packages/model/gypsum_model/__init__.py
+++ b/packages/model/gypsum_model/__init__.py
@@ -1,1 +1,1 @@
-"""Validated models at the border: settings, manifests, what people write."""
+"""Validated models of external input: settings and manifests."""
--- a/packages/model/gypsum_model/base.py
+++ b/packages/model/gypsum_model/base.py
@@ -1,4 +1,4 @@
-"""What all border models share."""
+"""Base class and types of the validated models."""
 
 from typing import Annotated
 
@@ -11,14 +11,14 @@
 Address = Annotated[str, Field(pattern=r"^[0-9a-fA-F.:\[\]]+$", max_length=64)]
 
 
-class BorderModel(BaseModel):
-    """Strict: an unknown field is an error, not a silent typo."""
+class StrictModel(BaseModel):
+    """A strict model: unknown fields are errors, so that typos are detected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
 def parse_model(model, text, *, source):
-    """Parse JSON text into a model, or raise one line that names the field."""
+    """Parse JSON into a model; raises UserError with one line that names the field."""
     try:
         return model.model_validate_json(text)
     except ValidationError as exc:
@@ -26,7 +26,7 @@
 
 
 def describe_invalid(exc):
-    """All problems of a validation error on one line, each with its field."""
+    """Format all problems of a validation error as one line, each with its field."""
     problems = []
     for error in exc.errors():
         field = ".".join(str(part) for part in error["loc"]) or "document"
--- a/packages/model/gypsum_model/errors.py
+++ b/packages/model/gypsum_model/errors.py
@@ -1,8 +1,8 @@
-"""Errors meant for people: shown as one line, without a traceback."""
+"""Errors that are shown to users as one line, without a traceback."""
 
 
 class GypsumError(Exception):
-    """Base of all errors; carries the step and the peer at which it arose."""
+    """Base of all errors, with the step and the peer at which it occurred."""
 
     def __init__(self, message, *, step="", peer=""):
         super().__init__(message)
@@ -11,9 +11,9 @@
         self.peer = peer
 
     def __str__(self):
-        place = " ".join(part for part in (self.step, self.peer) if part)
-        return f"{place}: {self.message}" if place else self.message
+        location = " ".join(part for part in (self.step, self.peer) if part)
+        return f"{location}: {self.message}" if location else self.message
 
 
 class UserError(GypsumError):
-    """Something the person at the command can mend."""
+    """An error that the user can correct."""
--- a/packages/model/gypsum_model/manifest.py
+++ b/packages/model/gypsum_model/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: one database group as its operators describe it."""
+"""The manifest: the operators' description of a database group."""
 
 from typing import Annotated, Literal
 
@@ -6,13 +6,13 @@
 
 from gypsum_core.records import Mode
 from gypsum_core.spec import DatabaseSpec, KindSpec, UpstreamSpec
-from gypsum_model.base import Address, BorderModel, Name, Port, parse_model
+from gypsum_model.base import Address, Name, Port, StrictModel, parse_model
 
 KeyHash = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 Positive = Annotated[float, Field(gt=0, le=1e6)]
 
 
-class UpstreamModel(BorderModel):
+class UpstreamModel(StrictModel):
     """One upstream of the group."""
 
     id: Name
@@ -23,14 +23,14 @@
     connections: Annotated[int, Field(ge=2, le=100_000)]
 
     @model_validator(mode="after")
-    def check_room(self):
-        """More slots than connections could never be used."""
+    def check_slots(self):
+        """Refuse more slots than connections: they could never be used."""
         if self.slots > self.connections:
             raise ValueError("slots must not exceed connections")
         return self
 
 
-class KindModel(BorderModel):
+class KindModel(StrictModel):
     """One kind of request."""
 
     name: Name
@@ -42,17 +42,17 @@
 
     @model_validator(mode="after")
     def check_age(self):
-        """Only reads have an allowed age."""
+        """Refuse a maximum age for kinds that are not reads."""
         if self.max_age_ms and self.mode != "read":
             raise ValueError("max_age_ms is for kinds of mode read only")
         return self
 
 
-class MemberModel(BorderModel):
-    """One member, its weight, and hashes of the keys that speak in its name.
+class MemberModel(StrictModel):
+    """One member, its weight, and the hashes of its keys.
 
-    Only hashes are kept: whoever reads the manifest cannot speak for a member.
-    Without any the member needs no key.
+    Only hashes are stored, so that a reader of the manifest can't impersonate a
+    member. A member without hashes needs no key.
     """
 
     name: Name
@@ -60,11 +60,11 @@
     key_hashes: Annotated[tuple[KeyHash, ...], Field(max_length=8)] = ()
 
 
-class ManifestModel(BorderModel):
+class ManifestModel(StrictModel):
     """A database group: upstreams, kinds of requests, members.
 
-    `applied_by` names one run of the operator's apply, so that it can recognize
-    its own write when the answer to it was lost.
+    `applied_by` identifies one run of the operator's `apply`, so that it recognizes
+    its own write if the response was lost.
     """
 
     database: Name
@@ -75,7 +75,7 @@
 
     @model_validator(mode="after")
     def check_unique(self):
-        """Names stand for one thing each."""
+        """Refuse duplicate names."""
         check_distinct("upstreams", [item.id for item in self.upstreams])
         check_distinct("kinds", [item.name for item in self.kinds])
         check_distinct("members", [item.name for item in self.members])
@@ -83,19 +83,19 @@
 
 
 def check_distinct(field, names):
-    """Refuse a name that stands twice."""
-    twice = sorted({name for name in names if names.count(name) > 1})
-    if twice:
-        raise ValueError(f"{field}: {twice[0]!r} stands twice")
+    """Raise ValueError if a name occurs more than once."""
+    duplicates = sorted({name for name in names if names.count(name) > 1})
+    if duplicates:
+        raise ValueError(f"{field}: {duplicates[0]!r} is listed twice")
 
 
 def parse_manifest(text, *, source):
-    """Parse a manifest; one clear line says what is wrong."""
+    """Parse a manifest; raises UserError with one line that lists the problems."""
     return parse_model(ManifestModel, text, source=source)
 
 
 def spec_of(manifest, *, version):
-    """The form in which the decision logic uses a manifest."""
+    """Convert a manifest into the decision logic's DatabaseSpec."""
     return DatabaseSpec(
         name=manifest.database,
         version=version,
--- a/packages/model/gypsum_model/settings.py
+++ b/packages/model/gypsum_model/settings.py
@@ -1,4 +1,4 @@
-"""A daemon's settings: its addresses, its failure domain, its secrets."""
+"""A daemon's settings: addresses, failure domain, secrets."""
 
 from pathlib import Path
 from typing import Annotated, Literal
@@ -6,37 +6,37 @@
 from pydantic import Field, SecretStr
 
 from gypsum_core.spec import Tuning
-from gypsum_model.base import Address, BorderModel, Name, Port, parse_model
+from gypsum_model.base import Address, Name, Port, StrictModel, parse_model
 from gypsum_model.errors import UserError
 
 Seconds = Annotated[float, Field(gt=0, le=3600)]
 Key = Annotated[SecretStr, Field(min_length=16)]
 
 
-class ListenModel(BorderModel):
-    """An address to listen on; port 0 takes any free one."""
+class ListenModel(StrictModel):
+    """An address to listen on; port 0 selects a free port."""
 
     host: Address
     port: Port
 
 
-class SeedModel(BorderModel):
-    """A daemon to ask when the platform is away at the start."""
+class SeedModel(StrictModel):
+    """A daemon to contact if the platform is unavailable at startup."""
 
     id: Name
     domain: Name
     address: Annotated[str, Field(pattern=r"^[0-9a-fA-F.:\[\]]+:\d+$")]
 
 
-class UpstreamLogin(BorderModel):
-    """How the daemon logs in at upstreams."""
+class UpstreamLogin(StrictModel):
+    """The daemon's credentials for upstreams."""
 
     user: str = "gypsum"
     password: SecretStr = SecretStr("")
 
 
-class TuningModel(BorderModel):
-    """Times of the decision logic that operators may set, in seconds."""
+class TuningModel(StrictModel):
+    """Configurable intervals and timeouts of the decision logic, in seconds."""
 
     poll_interval: Seconds = 0.1
     idle_poll_interval: Seconds = 0.5
@@ -47,7 +47,7 @@
     drain_notice: Seconds = 1.0
 
 
-class SettingsModel(BorderModel):
+class SettingsModel(StrictModel):
     """All settings of one daemon."""
 
     daemon: Name
@@ -67,12 +67,12 @@
     tuning: TuningModel = TuningModel()
 
     def core_tuning(self):
-        """The decision logic's times."""
+        """Return the decision logic's tuning."""
         return Tuning(**self.tuning.model_dump())
 
 
 def load_settings(path):
-    """Read and check a settings file."""
+    """Read and validate a settings file; raises UserError."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as exc:
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -50,7 +50,7 @@
     path = write_manifest(cluster, tmp_path, members=members("north", "north"))
     done = cluster.command("check", path)
     assert done.returncode == 1
-    assert "'north' stands twice" in done.stderr
+    assert "'north' is listed twice" in done.stderr
 
 
 def test_diff_shows_what_apply_would_change(cluster, tmp_path):
