--- a/packages/cli/gypsum_cli/check.py
+++ b/packages/cli/gypsum_cli/check.py
@@ -1,4 +1,4 @@
-"""`gypsumhitch check`: is a manifest in order?"""
+"""`gypsumhitch check`: validates a manifest file."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 from gypsum_cli.exits import ExitCode
 from gypsum_cli.manifests import read_manifest
 from gypsum_cli.options import AsJson, ManifestFile
-from gypsum_cli.output import show
+from gypsum_cli.output import print_result
 
 
 def check(command):
-    """Check a manifest file without any service."""
+    """Validate a manifest file without contacting any service."""
     manifest = read_manifest(command.manifest)
-    show(
+    print_result(
         {"database": manifest.database, "in_order": True},
         [f"{manifest.database}: the manifest is in order"],
         as_json=command.json,
--- a/packages/cli/gypsum_cli/check_settings.py
+++ b/packages/cli/gypsum_cli/check_settings.py
@@ -1,4 +1,4 @@
-"""`gypsumhitch check-settings`: are a daemon's settings for the platform in order?"""
+"""`gypsumhitch check-settings`: validates a daemon's settings for the platform."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -8,19 +8,19 @@
 
 from gypsum_cli.exits import ExitCode
 from gypsum_cli.options import AsJson
-from gypsum_cli.output import fail, show
+from gypsum_cli.output import print_error, print_result
 from gypsum_policy.draining import make_drain_plan
 from gypsum_sessions.settings import SettingsError, load_session_settings
 
 
 def check_settings(command):
-    """Check a settings file without starting anything."""
+    """Validate a settings file without starting a daemon."""
     try:
         settings = load_session_settings(command.settings)
     except SettingsError as exc:
-        return fail(exc)
+        return print_error(exc)
     plan = make_drain_plan(settings.grace_seconds)
-    show(
+    print_result(
         {"daemon": settings.daemon, "in_order": True, "drain_seconds": plan.exit_by},
         [
             f"{settings.daemon}: the settings are in order",
--- a/packages/cli/gypsum_cli/drain.py
+++ b/packages/cli/gypsum_cli/drain.py
@@ -1,4 +1,4 @@
-"""`gypsumhitch drain`: shut a daemon down gracefully."""
+"""`gypsumhitch drain`: shuts a daemon down gracefully."""
 
 from dataclasses import dataclass
 
@@ -6,14 +6,14 @@
 
 from gypsum_cli.exits import ExitCode
 from gypsum_cli.options import AsJson, OperatorAddress
-from gypsum_cli.output import show
+from gypsum_cli.output import print_result
 from gypsum_cli.service import call_daemon
 
 
 async def drain(command):
-    """Ask a daemon to hand its work on and exit."""
+    """Tell a daemon to drain and exit."""
     answer = await call_daemon(command.daemon, "/drain", method="POST")
-    show(answer, [f"{command.daemon}: draining"], as_json=command.json)
+    print_result(answer, [f"{command.daemon}: draining"], as_json=command.json)
     return ExitCode.OK
 
 
--- a/packages/cli/gypsum_cli/exits.py
+++ b/packages/cli/gypsum_cli/exits.py
@@ -1,13 +1,13 @@
-"""Exit codes of the command; docs/operators.md lists them."""
+"""Exit codes; docs/operators.md lists them."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """What the command's exit code means."""
+    """Exit codes of the command."""
 
     OK = 0
-    WRONG = 1
+    ERROR = 1
     USAGE = 2
     CONFLICT = 3
     UNAVAILABLE = 4
--- a/packages/cli/gypsum_cli/explain.py
+++ b/packages/cli/gypsum_cli/explain.py
@@ -1,4 +1,4 @@
-"""`gypsumhitch explain`: how does a daemon see a database, and why?"""
+"""`gypsumhitch explain`: shows a daemon's view of a database."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -7,19 +7,19 @@
 
 from gypsum_cli.exits import ExitCode
 from gypsum_cli.options import AsJson, OperatorAddress
-from gypsum_cli.output import show
+from gypsum_cli.output import print_result
 from gypsum_cli.service import call_daemon
 
 
 async def explain(command):
-    """Show home, term, positions, lag and queues of a database."""
+    """Print home, term, positions, lag and queues of a database."""
     answer = await call_daemon(command.daemon, f"/explain/{command.database}")
-    show(answer, describe(answer), as_json=command.json)
+    print_result(answer, describe(answer), as_json=command.json)
     return ExitCode.OK
 
 
 def describe(answer):
-    """The answer as lines of text."""
+    """Format the response as lines of text."""
     home = answer["home"]
     yield f"{home['database']}: version {home['version']}, seen by {answer['daemon']}"
     yield f"  order: {' '.join(answer['order'])}"
--- a/packages/cli/gypsum_cli/main.py
+++ b/packages/cli/gypsum_cli/main.py
@@ -15,13 +15,13 @@
 from gypsum_cli.exits import ExitCode
 from gypsum_cli.explain import Explain, explain
 from gypsum_cli.explain_request import ExplainRequest, explain_request
-from gypsum_cli.output import fail
+from gypsum_cli.output import print_error
 from gypsum_cli.service import DaemonError
 from gypsum_cli.status import Status, status
 from gypsum_model.errors import UserError
 from gypsum_platform.client import PlatformError
 
-FUNCTIONS = {
+HANDLERS = {
     Check: check,
     CheckSettings: check_settings,
     Diff: diff,
@@ -36,7 +36,7 @@
 @cappa.command(name="gypsumhitch", help="Operate gypsumhitch by its manifests.")
 @dataclass
 class Gypsumhitch:
-    """The command."""
+    """The command line."""
 
     subcommand: cappa.Subcommands[
         Check | CheckSettings | Diff | Apply | Status | Explain | ExplainRequest | Drain
@@ -44,14 +44,14 @@
 
 
 def run(command):
-    """Run a parsed subcommand; returns the exit code."""
+    """Run a parsed subcommand; return the exit code."""
     try:
-        result = FUNCTIONS[type(command)](command)
+        result = HANDLERS[type(command)](command)
         return asyncio.run(result) if inspect.isawaitable(result) else result
     except UserError as exc:
-        return fail(exc)
+        return print_error(exc)
     except (PlatformError, DaemonError) as exc:
-        return fail(exc, ExitCode.UNAVAILABLE)
+        return print_error(exc, ExitCode.UNAVAILABLE)
 
 
 def main():
--- a/packages/cli/gypsum_cli/manifests.py
+++ b/packages/cli/gypsum_cli/manifests.py
@@ -1,4 +1,4 @@
-"""Reading, comparing and storing manifests."""
+"""Reading and comparing manifests."""
 
 import json
 from pathlib import Path
@@ -6,11 +6,11 @@
 from gypsum_model.errors import UserError
 from gypsum_model.manifest import parse_manifest
 
-KIND = "databases"
+OBJECT_KIND = "databases"
 
 
 def read_manifest(path):
-    """A checked manifest from a file."""
+    """Read and validate a manifest file; raises UserError."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as exc:
@@ -19,7 +19,7 @@
 
 
 def flatten(data, prefix=""):
-    """A nested document as `path: value`, list items by their id or name."""
+    """Flatten a document to `{path: value}`; list items are keyed by id or name."""
     if isinstance(data, dict):
         flat = {}
         for key, value in data.items():
@@ -27,26 +27,26 @@
         return flat
     if isinstance(data, list):
         flat = {}
-        for place, item in enumerate(data):
-            name = place
+        for position, item in enumerate(data):
+            name = position
             if isinstance(item, dict):
-                name = item.get("id") or item.get("name") or place
+                name = item.get("id") or item.get("name") or position
             flat.update(flatten(item, f"{prefix}[{name}]"))
         return flat
     return {prefix: data}
 
 
-def plain(manifest):
-    """A manifest as a plain document, without what apply adds."""
+def to_document(manifest):
+    """Convert a manifest to a JSON document, without the field that `apply` adds."""
     document = json.loads(manifest.model_dump_json())
     document.pop("applied_by", None)
     return document
 
 
 def differences(old, new):
-    """Lines that say what changes from one manifest to another (None: absent)."""
-    before = flatten(plain(old)) if old else {}
-    after = flatten(plain(new)) if new else {}
+    """Return a line for each difference between two manifests (None: absent)."""
+    before = flatten(to_document(old)) if old else {}
+    after = flatten(to_document(new)) if new else {}
     lines = []
     for path in sorted(before.keys() | after.keys()):
         if path not in after:
@@ -61,9 +61,9 @@
 def check_change(old, new):
     """Refuse a change that could lose confirmed writes.
 
-    What goes wrong without it: a group whose members are swapped all at once has
-    majorities before and after the change that share no member, so the new ones
-    can elect a primary that lacks what the old ones confirmed.
+    If all members of a group are replaced at once, a majority before the change and one
+    after it need not share a member. The new members could then elect a primary that
+    lacks writes which the old ones confirmed.
     """
     if old is None:
         return
--- a/packages/cli/gypsum_cli/output.py
+++ b/packages/cli/gypsum_cli/output.py
@@ -1,4 +1,4 @@
-"""What the command prints: text for people, JSON for programs."""
+"""Output of the command: text or JSON."""
 
 import json
 import sys
@@ -6,7 +6,7 @@
 from gypsum_cli.exits import ExitCode
 
 
-def show(data, lines, *, as_json):
+def print_result(data, lines, *, as_json):
     """Print a result as JSON or as lines of text."""
     if as_json:
         print(json.dumps(data, indent=2, sort_keys=True))
@@ -15,7 +15,7 @@
         print(line)
 
 
-def fail(message, code=ExitCode.WRONG):
-    """Print an error and give its exit code back."""
+def print_error(message, code=ExitCode.ERROR):
+    """Print an error and return its exit code."""
     print(f"gypsumhitch: {message}", file=sys.stderr)
     return code
--- a/packages/cli/gypsum_cli/service.py
+++ b/packages/cli/gypsum_cli/service.py
@@ -1,4 +1,4 @@
-"""Access to the platform and to daemons for the subcommands."""
+"""Clients of the platform and of daemons."""
 
 import json
 
@@ -12,23 +12,23 @@
 
 
 class DaemonError(GypsumError):
-    """A daemon did not answer as it should."""
+    """Raised if a daemon does not respond or responds with an error."""
 
 
-def platform_at(url):
-    """A client of the platform."""
+def make_platform_client(url):
+    """Return a client of the platform."""
     return PlatformClient(base_url=url, timeout=TIMEOUT)
 
 
-def stored_manifest(stored):
-    """The manifest in a stored object, None when there is none."""
+def parse_stored_manifest(stored):
+    """Parse the manifest of a stored object; None if it does not exist."""
     if stored.version == 0:
         return None
     return parse_manifest(stored.body, source=f"{stored.name} at the platform")
 
 
 async def call_daemon(address, path, *, method="GET"):
-    """Call a daemon's operators' interface; returns its JSON document."""
+    """Call a daemon's API for operators; return the JSON document."""
     body = b"" if method == "POST" else None
     client = AsyncHTTPClient(force_instance=True)
     try:
@@ -45,7 +45,7 @@
 
 
 def error_detail(exc):
-    """What a daemon's error answer says."""
+    """Return the detail of a daemon's error response."""
     try:
         return json.loads(exc.response.body)["detail"]
     except (AttributeError, KeyError, TypeError, ValueError):
--- a/tests/test_check_settings.py
+++ b/tests/test_check_settings.py
@@ -1,4 +1,4 @@
-"""`gypsumhitch check-settings` over settings files."""
+"""Tests `gypsumhitch check-settings` with settings files."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 from gypsum_cli.check_settings import CheckSettings, check_settings
 
-GOOD = {
+VALID_SETTINGS = {
     "daemon": "front-1",
     "domain": "a",
     "callers": "10.1.0.8:8784",
@@ -17,22 +17,22 @@
 
 
 def run(tmp_path, capsys, text, *, as_json=False):
-    """Check a file with a text; (exit code, output, errors)."""
+    """Check a settings file; return the exit code, output and errors."""
     path = tmp_path / "settings.json"
     path.write_text(text)
     code = check_settings(CheckSettings(settings=path, json=as_json))
     return code, *capsys.readouterr()
 
 
-def test_settings_in_order(tmp_path, capsys):
-    code, out, _ = run(tmp_path, capsys, json.dumps(GOOD))
+def test_valid_settings(tmp_path, capsys):
+    code, out, _ = run(tmp_path, capsys, json.dumps(VALID_SETTINGS))
     assert code == 0
     assert "front-1: the settings are in order" in out
     assert "a drain ends within 5.7 s" in out
 
 
-def test_the_answer_as_json(tmp_path, capsys):
-    code, out, _ = run(tmp_path, capsys, json.dumps(GOOD), as_json=True)
+def test_json_output(tmp_path, capsys):
+    code, out, _ = run(tmp_path, capsys, json.dumps(VALID_SETTINGS), as_json=True)
     assert code == 0
     assert json.loads(out)["in_order"] is True
 
@@ -46,13 +46,13 @@
         ({"daemon": ""}, "daemon"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path, capsys, changes, named):
-    code, _, err = run(tmp_path, capsys, json.dumps({**GOOD, **changes}))
+def test_the_invalid_field_is_named(tmp_path, capsys, changes, named):
+    code, _, err = run(tmp_path, capsys, json.dumps({**VALID_SETTINGS, **changes}))
     assert code == 1
     assert named in err and "Traceback" not in err
 
 
-def test_no_json_and_no_file(tmp_path, capsys):
+def test_invalid_json_and_a_missing_file_are_errors(tmp_path, capsys):
     code, _, err = run(tmp_path, capsys, "{")
     assert code == 1 and "no valid JSON" in err
     missing = CheckSettings(settings=tmp_path / "none.json")
--- a/tests/test_explain_request.py
+++ b/tests/test_explain_request.py
@@ -1,14 +1,14 @@
-"""`gypsumhitch explain-request` over log lines."""
+"""Tests `gypsumhitch explain-request` with log lines."""
 
 import json
 
-from gypsum_cli.explain_request import ExplainRequest, explain_request, tell
+from gypsum_cli.explain_request import ExplainRequest, explain_request, trace_request
 
 BASE = "2026-05-01T10:00:0"
 
 
 def line(second, part, event, **fields):
-    """One log line."""
+    """Return a log line."""
     fields = {"daemon": "d1", "part": part, "event": event, **fields}
     return json.dumps({"time": f"{BASE}{second}.000+00:00", **fields})
 
@@ -34,14 +34,14 @@
 
 
 def run(tmp_path, request, capsys, text=None):
-    """Run the subcommand over a file; (exit code, output)."""
+    """Run the subcommand with a log file; return the exit code and the output."""
     path = tmp_path / "log"
     path.write_text("\n".join(text or LINES))
     code = explain_request(ExplainRequest(request=request, logs=[path]))
     return code, capsys.readouterr()
 
 
-def test_a_refused_write_is_told_with_its_cause(tmp_path, capsys):
+def test_a_refused_write_is_shown_with_its_cause(tmp_path, capsys):
     code, out = run(tmp_path, "r1", capsys)
     assert code == 0
     assert "has not run: not run, the group has no proven primary" in out.out
@@ -50,7 +50,7 @@
     assert "group=other" not in out.out
 
 
-def test_lines_with_a_prefix_and_noise_are_read(tmp_path, capsys):
+def test_prefixes_and_invalid_lines_are_skipped(tmp_path, capsys):
     text = ["noise", "{broken", *(f"  1.5 d1 {item}" for item in LINES)]
     code, out = run(tmp_path, "r2", capsys, text)
     assert code == 0
@@ -60,15 +60,15 @@
 def test_an_unknown_request_is_an_error(tmp_path, capsys):
     code, out = run(tmp_path, "nobody", capsys)
     assert code == 1
-    assert "no line about request nobody" in out.err
+    assert "no event of request nobody" in out.err
 
 
-def test_an_answer_after_several_tries_names_them():
-    story = tell("r", [])
-    assert story.way == []
+def test_a_request_without_lines_has_no_events():
+    trace = trace_request("r", [])
+    assert trace.events == []
 
 
-def test_what_the_owner_saw_is_told_with_the_request():
+def test_the_owners_events_are_shown_with_the_request():
     lines = [
         {"time": f"{BASE}1.000+00:00", "daemon": "d2", "part": "read"}
         | {"event": "attempt failed", "request": "r", "upstream": "u1"},
@@ -80,17 +80,16 @@
         {"time": f"{BASE}2.600+00:00", "daemon": "d3", "part": "leader"}
         | {"event": "lost", "group": "g"},
     ]
-    story = tell("r", lines)
-    assert story.last["daemon"] == "d1"
-    assert [line["daemon"] for line in story.around] == ["d2"]
+    trace = trace_request("r", lines)
+    assert trace.final_event["daemon"] == "d1"
+    assert [line["daemon"] for line in trace.context_events] == ["d2"]
 
 
-def test_the_configuration_that_judged_it_is_told_with_its_age(tmp_path, capsys):
-    """Symptom: a route that is there was refused as unknown, and the log line looks
-    like that of any wrong name.
+def test_the_configuration_is_shown_with_its_age(tmp_path, capsys):
+    """Guards against an outdated configuration that can't be recognized in the output.
 
-    Sequence: a daemon is behind when it refuses. Cause: the line told the version,
-    not since when the daemon could not know whether it is the newest.
+    A daemon that is behind refuses an existing route as unknown. Without the time since
+    the version was last confirmed, this looks like a request with a wrong name.
     """
     text = [
         line(
@@ -105,21 +104,21 @@
         )
     ]
     _, out = run(tmp_path, "r1", capsys, text)
-    told = "judged by configuration 12, known to be the newest 9.4 s before"
-    assert told in out.out
+    expected = "It used configuration 12, confirmed as the newest 9.4 s before"
+    assert expected in out.out
 
 
-def refusal(word, detail):
-    """The line of a workspace's refused request."""
+def refusal_line(refusal, detail):
+    """Return the log line of a workspace's refused request."""
     fields = {"request": "r1", "workspace": "north"}
-    return line(2, "request", "refused", refusal=word, detail=detail, **fields)
+    return line(2, "request", "refused", refusal=refusal, detail=detail, **fields)
 
 
-def test_a_refusal_beyond_a_cap_is_told_with_the_workspaces_events(tmp_path, capsys):
+def test_a_refusal_beyond_a_cap_is_shown_with_the_workspaces_events(tmp_path, capsys):
     text = [
         line(1, "usage", "over its cap", workspace="north", version=7),
         line(1, "usage", "over its cap", workspace="south", version=7),
-        refusal("busy", "not run, beyond the workspace's cap"),
+        refusal_line("busy", "not run, beyond the workspace's cap"),
     ]
     code, out = run(tmp_path, "r1", capsys, text)
     assert code == 0
@@ -128,12 +127,12 @@
     assert "south" not in out.out
 
 
-def test_a_withdrawn_key_is_told_with_the_version_that_did_it(tmp_path, capsys):
+def test_a_withdrawn_key_is_shown_with_its_version(tmp_path, capsys):
     text = [
         line(1, "proxy", "key withdrawn", workspace="north", version=9),
-        refusal("unknown_key", "not run, the key is not in force any more"),
+        refusal_line("unknown_key", "not run, the key is not in force any more"),
     ]
     code, out = run(tmp_path, "r1", capsys, text)
     assert code == 0
-    assert "its caller's key counts no more" in out.out
+    assert "its caller's key is no longer valid" in out.out
     assert "key withdrawn workspace=north version=9" in out.out
