--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and daemons as processes, for process tests and the demo."""
+"""Runs stand-ins and daemons as processes, for process tests and the demo."""
 
 import hashlib
 import json
@@ -16,7 +16,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 HOST = "127.0.0.1"
-START_LIMIT = 40.0
+START_TIMEOUT = 40.0
 SECRET = "not-so-secret-link"
 SESSION_KEY = "not-so-secret-session"
 MEMBER_KEY = "locked-members-key"
@@ -28,8 +28,8 @@
 
 
 @dataclass
-class Answer:
-    """An HTTP answer."""
+class Response:
+    """An HTTP response."""
 
     status: int
     headers: dict
@@ -37,12 +37,12 @@
 
     @property
     def session(self):
-        """The session token that came with it."""
+        """The session token of the response."""
         return self.headers.get("Gypsum-Session", "")
 
 
-def call(url, *, method="GET", body=None, headers=None, timeout=30.0):
-    """One HTTP call; error answers are answers too."""
+def http_call(url, *, method="GET", body=None, headers=None, timeout=30.0):
+    """Send an HTTP request; error responses are returned, not raised."""
     data = body.encode() if isinstance(body, str) else body
     if isinstance(body, dict):
         data = json.dumps(body).encode()
@@ -51,33 +51,33 @@
     )
     try:
         with urllib.request.urlopen(req, timeout=timeout) as response:
-            return read_answer(response.status, response)
+            return parse_response(response.status, response)
     except urllib.error.HTTPError as exc:
         with exc:
-            return read_answer(exc.code, exc)
+            return parse_response(exc.code, exc)
 
 
-def read_answer(status, response):
-    """An answer with its JSON body, if it has one."""
+def parse_response(status, response):
+    """Parse a response; a body that is not JSON becomes `{"text": ...}`."""
     raw = response.read()
     try:
         body = json.loads(raw)
     except ValueError:
         body = {"text": raw.decode(errors="replace")}
-    return Answer(status=status, headers=dict(response.headers), body=body)
+    return Response(status=status, headers=dict(response.headers), body=body)
 
 
 @dataclass
 class Process:
-    """A started process and what it said when it was ready."""
+    """A started process and the fields of its ready line."""
 
     name: str
     popen: subprocess.Popen
     ready: list = field(default_factory=list)
 
-    def wait_ready(self, limit=START_LIMIT):
-        """Read its ready line."""
-        found, _, _ = select.select([self.popen.stdout], [], [], limit)
+    def wait_ready(self, timeout=START_TIMEOUT):
+        """Wait for the ready line and parse it."""
+        found, _, _ = select.select([self.popen.stdout], [], [], timeout)
         line = self.popen.stdout.readline().decode() if found else ""
         if not line.startswith("ready"):
             raise RuntimeError(f"{self.name} did not start: {line!r}")
@@ -89,20 +89,20 @@
         self.popen.send_signal(number)
 
     def kill(self):
-        """End it at once."""
+        """Kill the process, also if it is stopped by a signal."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.kill()
-        self.popen.wait(START_LIMIT)
+        self.popen.wait(START_TIMEOUT)
 
 
 class Cluster:
-    """A platform, one group of three upstreams, and some daemons."""
+    """A platform, a group of three upstreams, and several daemons."""
 
     def __init__(self, *, daemons=3, database="grid", lag_ms=40, tuning=None):
         self.database = database
-        self.folder = tempfile.TemporaryDirectory(prefix="gypsum-")
-        self.path = Path(self.folder.name)
+        self.temp_dir = tempfile.TemporaryDirectory(prefix="gypsum-")
+        self.path = Path(self.temp_dir.name)
         self.processes = []
         self.upstreams = {}
         self.sql_ports = {}
@@ -126,7 +126,7 @@
     # Starting
 
     def start(self):
-        """Start everything and commit the manifest."""
+        """Start all processes and apply the manifest."""
         self.start_platform()
         self.start_upstreams()
         for number in range(self.daemon_count):
@@ -136,7 +136,7 @@
         self.publish_instances()
         self.write_manifest()
         if self.daemons:
-            self.wait_agreed()
+            self.wait_for_equal_lists()
 
     def spawn(self, name, args):
         """Start a process."""
@@ -153,13 +153,13 @@
         return process
 
     def start_platform(self):
-        """Start the platform's stand-in."""
+        """Start the stand-in for the platform."""
         args = [sys.executable, "-m", "tests.standins.platform"]
         self.platform = self.spawn("platform", args).wait_ready()
         self.platform_url = f"http://{HOST}:{self.platform.ready[0]}"
 
     def start_upstreams(self):
-        """Start the group: u1 is primary, the others follow it with a lag."""
+        """Start the group: u1 is primary, the others replicate with a lag."""
         for name in ("u1", "u2", "u3"):
             self.start_upstream(name, primary=name == "u1")
         for name in self.upstreams:
@@ -168,7 +168,7 @@
                 self.upstream_sql(name, f"CALL test_ship('{other}', {port})")
 
     def start_upstream(self, name, *, primary):
-        """Start one upstream, empty, on whatever ports are free."""
+        """Start an empty upstream on free ports."""
         cfg = {
             "id": name,
             "primary": primary,
@@ -184,7 +184,7 @@
         self.sql_ports[name] = int(process.ready[0])
 
     def daemon_settings(self, number):
-        """The settings of one daemon."""
+        """Return the settings of a daemon."""
         return {
             "daemon": f"d{number}",
             "domain": f"fd{number % 3}",
@@ -204,7 +204,7 @@
         }
 
     def spawn_daemon(self, number):
-        """Start one daemon without waiting for it."""
+        """Start a daemon without waiting until it is ready."""
         name = f"d{number}"
         path = self.path / f"{name}.json"
         path.write_text(json.dumps(self.daemon_settings(number)))
@@ -214,7 +214,7 @@
         return process
 
     def peer_addresses(self):
-        """Link addresses of the daemons that are up."""
+        """Return the link addresses of the daemons that are ready."""
         return {
             name: f"{HOST}:{ports(process)['peers']}"
             for name, process in self.daemons.items()
@@ -243,14 +243,14 @@
             for name in self.upstreams
         ]
         url = f"{self.platform_url}/instances"
-        call(url, method="PUT", body={"instances": instances})
+        http_call(url, method="PUT", body={"instances": instances})
 
     def set_faults(self, **faults):
-        """Set what is wrong with the platform."""
-        call(f"{self.platform_url}/faults", method="PUT", body=faults)
+        """Set the platform's faults."""
+        http_call(f"{self.platform_url}/faults", method="PUT", body=faults)
 
     def manifest(self):
-        """The manifest that the tests use."""
+        """Return the manifest that the tests use."""
         return {
             "database": self.database,
             "upstreams": [
@@ -279,7 +279,7 @@
         }
 
     def write_manifest(self):
-        """Commit the manifest with the operator's command and wait for it."""
+        """Apply the manifest and wait until it is in force."""
         path = self.path / "manifest.json"
         path.write_text(json.dumps(self.manifest()))
         done = self.command("apply", str(path), "--platform", self.platform_url)
@@ -287,25 +287,25 @@
             raise RuntimeError(done.stderr)
         self.wait_in_force()
 
-    def wait_in_force(self, limit=START_LIMIT):
-        """Wait until the accepted version is in force everywhere."""
-        end = time.monotonic() + limit
+    def wait_in_force(self, timeout=START_TIMEOUT):
+        """Wait until the accepted version is in force on all daemons."""
+        end = time.monotonic() + timeout
         while self.status().returncode:
             if time.monotonic() > end:
                 raise RuntimeError("the manifest did not come into force")
             time.sleep(0.1)
 
-    def wait_agreed(self, limit=START_LIMIT):
-        """Wait until all daemons have the same list."""
-        end = time.monotonic() + limit
+    def wait_for_equal_lists(self, timeout=START_TIMEOUT):
+        """Wait until all daemons have the complete instance list."""
+        end = time.monotonic() + timeout
         names = set(self.daemons)
         while any(set(self.explain(name)["order"]) != names for name in names):
             if time.monotonic() > end:
-                raise RuntimeError("the daemons do not agree on the list")
+                raise RuntimeError("the daemons have different instance lists")
             time.sleep(0.05)
 
     def status(self):
-        """The operator's status command over all live daemons."""
+        """Run `gypsumhitch status` for all running daemons."""
         live = [item for item in self.daemons.values() if item.popen.poll() is None]
         args = []
         for item in live:
@@ -313,89 +313,91 @@
         return self.command("status", "--platform", self.platform_url, *args)
 
     def command(self, *args):
-        """Run the operator's command."""
+        """Run `gypsumhitch`."""
         binary = Path(sys.executable).parent / "gypsumhitch"
         return subprocess.run(
             [str(binary), *args],
             capture_output=True,
             text=True,
-            timeout=START_LIMIT,
+            timeout=START_TIMEOUT,
             check=False,
         )
 
-    # Calls
+    # Requests
 
     def url(self, daemon, path):
-        """A caller's URL at a daemon."""
+        """Return the URL of a daemon's API for callers."""
         port = ports(self.daemons[daemon])["callers"]
         return f"http://{HOST}:{port}/v1/{self.database}/{path}"
 
     def operator_url(self, daemon, path):
-        """An operator's URL at a daemon."""
+        """Return the URL of a daemon's API for operators."""
         return f"http://{HOST}:{ports(self.daemons[daemon])['operators']}{path}"
 
     def query(self, daemon, kind, sql, params=(), *, member="north", **headers):
-        """Run a statement through a daemon; headers with _ for -."""
+        """Run a statement through a daemon; `_` in header names stands for `-`."""
         body = {"kind": kind, "member": member, "sql": sql, "params": list(params)}
         return self.post(daemon, "query", body, **headers)
 
     def post(self, daemon, path, body, **headers):
-        """Post to a daemon."""
+        """Send a POST request to a daemon."""
         named = {
             name.replace("_", "-"): value for name, value in headers.items() if value
         }
-        return call(self.url(daemon, path), method="POST", body=body, headers=named)
+        return http_call(
+            self.url(daemon, path), method="POST", body=body, headers=named
+        )
 
     def explain(self, daemon):
-        """What a daemon says of the database."""
-        return call(self.operator_url(daemon, f"/explain/{self.database}")).body
+        """Return a daemon's view of the database."""
+        return http_call(self.operator_url(daemon, f"/explain/{self.database}")).body
 
     def metrics(self, daemon):
-        """A daemon's metrics."""
-        return call(self.operator_url(daemon, "/metrics")).body["text"]
+        """Return a daemon's metrics."""
+        return http_call(self.operator_url(daemon, "/metrics")).body["text"]
 
     def health(self, daemon):
-        """Whether a daemon takes callers."""
-        return call(self.operator_url(daemon, "/health/ready"))
+        """Return the response of a daemon's readiness check."""
+        return http_call(self.operator_url(daemon, "/health/ready"))
 
     def home(self):
-        """The database's home and its board."""
+        """Return the name of the database's home and its state."""
         order = self.explain(next(iter(self.live_daemons())))["order"]
         return order[0], self.explain(order[0])["home"]
 
     def live_daemons(self):
-        """Names of the daemons that run."""
+        """Return the names of the running daemons."""
         return [
             name for name, item in self.daemons.items() if item.popen.poll() is None
         ]
 
     def upstream_sql(self, name, sql):
-        """Run a test switch at an upstream."""
+        """Run a statement directly at an upstream."""
         import asyncio
 
-        return asyncio.run(run_at(self.sql_ports[name], sql))
+        return asyncio.run(run_sql_at(self.sql_ports[name], sql))
 
     # Stopping
 
     def stop(self):
-        """End every process that we started."""
+        """Kill all processes."""
         for process in reversed(self.processes):
             process.kill()
             process.popen.stdout.close()
-        self.folder.cleanup()
+        self.temp_dir.cleanup()
 
     def logs(self, name):
-        """What a process wrote to standard error."""
+        """Return what a process wrote to standard error."""
         return (self.path / f"{name}.log").read_text(errors="replace")
 
 
 def ports(process):
-    """The ports that a daemon announced."""
+    """Return the ports in a daemon's ready line."""
     return dict(item.split("=") for item in process.ready[1:])
 
 
-async def run_at(port, sql):
-    """Run one statement at an upstream."""
+async def run_sql_at(port, sql):
+    """Run a statement at an upstream."""
     import asyncmy
 
     conn = await asyncmy.connect(host=HOST, port=port, user="test", autocommit=True)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures, hypothesis's profiles, and the tests that are known to be red."""
+"""Shared fixtures, hypothesis profiles, and tests that are known to fail."""
 
 import os
 from pathlib import Path
@@ -8,9 +8,9 @@
 
 from tests.cluster import Cluster
 
-# What goes wrong with hypothesis's own limits on time: its first draw of text builds
-# tables, which took 5.3 s beside other load, and the run failed for that alone. With
-# drawn seeds it fails on one machine and passes on the next. `make fuzz` draws.
+# Hypothesis's time limits are disabled: its first text example builds tables, which
+# took 5.3 s under load and failed the run. Seeds are fixed, because random ones fail on
+# one machine and pass on the next. `make fuzz` uses random seeds.
 settings.register_profile(
     "fixed",
     derandomize=True,
@@ -22,20 +22,20 @@
 )
 settings.load_profile("drawn" if os.environ.get("GYPSUM_FUZZ") else "fixed")
 
-# One line a test: what to run, the cause, the issue, separated by "|".
+# One line per test: test id, cause, issue, separated by "|".
 KNOWN_RED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 
 
 def known_red():
-    """Lines of the tests that fail for a fault that is known, by what to run."""
+    """Return the lines of tests that fail for a known fault, by test id."""
     lines = KNOWN_RED.read_text().splitlines()
     return {line.partition("|")[0].strip(): line for line in lines if line.strip()}
 
 
 def pytest_collection_modifyitems(items):
-    """Let the run pass over the tests that are known to be red, and over no others.
+    """Mark the known failing tests, and no others, as expected failures.
 
-    One that is named whole and passes fails the run: its line is out of date.
+    A test listed by its full id that passes fails the run: its line is out of date.
     """
     known = known_red()
     for item in items:
@@ -46,13 +46,13 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the tests that are known to be red."""
+    """Print the tests that are known to fail."""
     for line in known_red().values():
         terminalreporter.write_line(f"known red: {line}")
 
 
 @pytest.fixture(scope="module")
 def cluster():
-    """A cluster of processes that the tests of a module share."""
+    """A cluster of processes, shared by the tests of a module."""
     with Cluster() as started:
         yield started
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear error, nothing runs, nothing is lost."""
+"""Tests that invalid input is rejected with a clear error and runs nothing."""
 
 import json
 import socket
@@ -10,7 +10,7 @@
 
 from gypsum_core.records import Position
 from gypsum_core.tokens import encode_token
-from tests.cluster import HOST, MEMBER_KEY, SESSION_KEY, call, ports
+from tests.cluster import HOST, MEMBER_KEY, SESSION_KEY, http_call, ports
 
 pytestmark = pytest.mark.xdist_group("bad_input")
 
@@ -20,7 +20,7 @@
 
 
 def expect_problem(answer, status, text):
-    """An answer in the common form of failures."""
+    """Check that a response is a problem document."""
     assert answer.status == status, answer.body
     assert answer.headers["Content-Type"] == PROBLEM
     assert answer.body["status"] == status
@@ -30,7 +30,7 @@
 
 
 def expect_nothing_ran(cluster, applicant):
-    """No row of an applicant."""
+    """Check that an applicant has no row."""
     read = cluster.query("d1", "review", COUNT, [applicant])
     assert read.body["rows"] == [[0]]
 
@@ -57,26 +57,26 @@
         ("plan", "north", INSERT, "open a transaction first"),
     ],
 )
-def test_wrong_words(cluster, kind, member, sql, text):
+def test_invalid_kind_member_or_statement(cluster, kind, member, sql, text):
     answer = cluster.query(
-        "d0", kind, sql, ["worder"], member=member, Idempotency_Key="w"
+        "d0", kind, sql, ["rejected"], member=member, Idempotency_Key="w"
     )
     expect_problem(answer, 400, text)
-    expect_nothing_ran(cluster, "worder")
+    expect_nothing_ran(cluster, "rejected")
 
 
 def test_unknown_database(cluster):
     url = f"http://{HOST}:{ports(cluster.daemons['d0'])['callers']}/v1/nowhere/query"
     body = {"kind": "status", "member": "north", "sql": "SELECT 1"}
-    expect_problem(call(url, method="POST", body=body), 404, "unknown database")
+    expect_problem(http_call(url, method="POST", body=body), 404, "unknown database")
 
 
 def test_unknown_path(cluster):
     url = f"http://{HOST}:{ports(cluster.daemons['d0'])['callers']}/v2/grid"
-    expect_problem(call(url), 404, "no such path")
+    expect_problem(http_call(url), 404, "no such path")
 
 
-def test_key_is_required_where_a_kind_must_not_repeat(cluster):
+def test_a_key_is_required_for_kinds_that_are_not_repeatable(cluster):
     answer = cluster.query("d0", "submit", INSERT, ["keyless"])
     expect_problem(answer, 400, "Idempotency-Key is required")
     expect_nothing_ran(cluster, "keyless")
@@ -128,7 +128,7 @@
     expect_problem(answer, 413, "larger than")
 
 
-def test_deadline_already_over(cluster):
+def test_expired_deadline(cluster):
     answer = cluster.query(
         "d0",
         "submit",
@@ -141,12 +141,12 @@
     expect_nothing_ran(cluster, "late")
 
 
-def test_deadline_that_is_no_number(cluster):
+def test_invalid_deadline(cluster):
     answer = cluster.query("d0", "status", COUNT, ["x"], Gypsum_Deadline_Ms="soon")
     expect_problem(answer, 400, "Gypsum-Deadline-Ms")
 
 
-def test_sql_error_is_told_and_rolled_back(cluster):
+def test_sql_error_is_reported_and_rolled_back(cluster):
     answer = cluster.query(
         "d0", "submit", "INSERT INTO nowhere VALUES (%s)", [1], Idempotency_Key="sql"
     )
@@ -164,11 +164,11 @@
     expect_problem(answer, 409, "no such transaction")
 
 
-def run_daemon(path, *more):
-    """Start the daemon with a settings file and wait for its end."""
+def run_daemon(path, *options):
+    """Run the daemon with a settings file until it exits."""
     binary = Path(sys.executable).parent / "gypsumhitchd"
     return subprocess.run(
-        [str(binary), "--settings", str(path), *more],
+        [str(binary), "--settings", str(path), *options],
         capture_output=True,
         text=True,
         timeout=60,
@@ -176,7 +176,7 @@
     )
 
 
-def test_wrong_settings_end_the_start_with_one_line(cluster, tmp_path):
+def test_invalid_settings_are_reported_in_one_line(cluster, tmp_path):
     settings = cluster.daemon_settings(0)
     settings["callers"]["port"] = "many"
     path = tmp_path / "settings.json"
@@ -196,10 +196,10 @@
 
 def test_port_in_use(cluster, tmp_path):
     settings = cluster.daemon_settings(0)
-    with socket.socket() as taken:
-        taken.bind((HOST, 0))
-        taken.listen()
-        port = taken.getsockname()[1]
+    with socket.socket() as listener:
+        listener.bind((HOST, 0))
+        listener.listen()
+        port = listener.getsockname()[1]
         settings["operators"]["port"] = port
         path = tmp_path / "settings.json"
         path.write_text(json.dumps(settings))
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The operator's command against a live cluster."""
+"""Tests the `gypsumhitch` command with a running cluster."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 def write_manifest(cluster, tmp_path, **changes):
-    """A manifest file that differs from the cluster's."""
+    """Write a manifest file that differs from the cluster's manifest."""
     manifest = {**cluster.manifest(), **changes}
     path = tmp_path / "manifest.json"
     path.write_text(json.dumps(manifest))
@@ -18,22 +18,22 @@
 
 
 def members(*names):
-    """Members for a manifest."""
+    """Return members for a manifest."""
     return [{"name": name} for name in names]
 
 
 def accepted_version(cluster):
-    """The version that the platform holds."""
+    """Return the version that the platform has accepted."""
     done = cluster.command("status", "--platform", cluster.platform_url, "--json")
     return json.loads(done.stdout)["accepted"]["grid"]
 
 
-def apply(cluster, path, *more):
-    """Run apply."""
-    return cluster.command("apply", path, "--platform", cluster.platform_url, *more)
+def apply(cluster, path, *options):
+    """Run `gypsumhitch apply`."""
+    return cluster.command("apply", path, "--platform", cluster.platform_url, *options)
 
 
-def test_check_names_the_wrong_field(cluster, tmp_path):
+def test_check_names_the_invalid_fields(cluster, tmp_path):
     manifest = cluster.manifest()
     manifest["upstreams"][1]["slots"] = 0
     manifest["colour"] = "blue"
@@ -46,7 +46,7 @@
     assert "Traceback" not in done.stderr
 
 
-def test_check_refuses_names_that_stand_twice(cluster, tmp_path):
+def test_check_refuses_duplicate_names(cluster, tmp_path):
     path = write_manifest(cluster, tmp_path, members=members("north", "north"))
     done = cluster.command("check", path)
     assert done.returncode == 1
@@ -71,7 +71,7 @@
     assert answer.status == 200
 
 
-def test_apply_of_the_same_changes_nothing(cluster, tmp_path):
+def test_apply_without_differences_changes_nothing(cluster, tmp_path):
     path = write_manifest(cluster, tmp_path, members=members("north", "south", "a"))
     apply(cluster, path)
     before = accepted_version(cluster)
@@ -91,11 +91,11 @@
     assert accepted_version(cluster) == before
 
 
-def test_lost_answer_is_settled_by_reading_back(cluster, tmp_path):
-    """
-    Symptom: apply reported a failure although the manifest came into force.
-    Sequence: the platform writes; its answer is lost on the way.
-    Cause: a lost answer was taken for a refusal.
+def test_a_lost_response_is_resolved_by_reading_back(cluster, tmp_path):
+    """Guards against a failure reported for a manifest that came into force.
+
+    The platform stores the manifest but its response is lost, which must not be
+    treated as a refusal.
     """
     path = write_manifest(cluster, tmp_path, members=members("north", "south", "c"))
     before = accepted_version(cluster)
@@ -106,7 +106,7 @@
     assert accepted_version(cluster) == before + 1
 
 
-def test_platform_down_is_told(cluster, tmp_path):
+def test_unavailable_platform_is_reported(cluster, tmp_path):
     path = write_manifest(cluster, tmp_path, members=members("north", "south", "d"))
     cluster.set_faults(down=True)
     done = apply(cluster, path)
@@ -125,7 +125,7 @@
     assert "one at a time" in done.stderr
 
 
-def test_explain_tells_who_leads(cluster):
+def test_explain_shows_the_primary(cluster):
     home = cluster.home()[0]
     address = f"{HOST}:{ports(cluster.daemons[home])['operators']}"
     done = cluster.command("explain", "grid", "--daemon", address)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes."""
+"""End-to-end tests with daemon and upstream processes."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 pytestmark = pytest.mark.xdist_group("process")
 
 
-def test_write_shows_through_every_daemon(cluster):
+def test_a_write_is_visible_through_every_daemon(cluster):
     wrote = cluster.query("d0", "submit", INSERT, ["anna"], Idempotency_Key="a1")
     assert wrote.status == 200, wrote.body
     for daemon in cluster.daemons:
@@ -17,7 +17,7 @@
         assert read.body["rows"] == [[1]]
 
 
-def test_key_runs_once_through_two_daemons(cluster):
+def test_a_key_runs_once_through_two_daemons(cluster):
     first = cluster.query("d0", "submit", INSERT, ["bela"], Idempotency_Key="b1")
     second = cluster.query("d1", "submit", INSERT, ["bela"], Idempotency_Key="b1")
     assert not first.body["replayed"]
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -1,4 +1,4 @@
-"""Faults on real processes: signals, silent sockets, lost answers, restarts."""
+"""Tests faults of processes: signals, silent sockets, lost responses, restarts."""
 
 import signal
 import time
@@ -8,61 +8,61 @@
 from tests.cluster import Cluster
 from tests.load import COUNT, INSERT, Writers, check_once
 
-GAP_LIMIT = 20.0
-WORK = 1.0
+MAX_GAP = 20.0
+WORK_SECONDS = 1.0
 
 
 @pytest.fixture
 def cluster():
-    """A cluster of its own for each test."""
+    """A separate cluster for each test."""
     with Cluster() as started:
         yield started
 
 
 def primary_of(cluster):
-    """The primary as the home sees it."""
+    """Return the primary that the home knows."""
     return cluster.home()[1]["primary"]
 
 
-def wait_for(test, limit=GAP_LIMIT):
-    """Wait until something holds."""
-    end = time.monotonic() + limit
-    while not test():
-        assert time.monotonic() < end, "it did not come to hold in time"
+def wait_for(condition, timeout=MAX_GAP):
+    """Wait until a condition is met."""
+    end = time.monotonic() + timeout
+    while not condition():
+        assert time.monotonic() < end, "condition not met in time"
         time.sleep(0.05)
 
 
 def test_killed_primary_is_replaced_and_nothing_is_lost(cluster):
     with Writers(cluster) as writers:
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
         first = primary_of(cluster)
         killed = time.monotonic()
         cluster.upstreams[first].signal(signal.SIGKILL)
         wait_for(lambda: any(by != first for _, _, by in writers.acked))
-        time.sleep(WORK)
-    assert writers.longest_gap(killed) < GAP_LIMIT
+        time.sleep(WORK_SECONDS)
+    assert writers.longest_gap(killed) < MAX_GAP
     check_once(cluster, writers, "d0")
 
 
-def test_frozen_primary_is_replaced_and_follows_when_it_thaws(cluster):
-    """
-    Symptom it guards against: a primary that was stopped goes on as if it led.
-    Sequence: it stops; another is promoted; it goes on with its old connections.
-    Cause it would have: nobody fences the old one or makes it follow.
+def test_frozen_primary_is_replaced_and_follows_when_it_resumes(cluster):
+    """Guards against a frozen primary that still acts as primary when it resumes.
+
+    It freezes, another upstream is promoted, and it resumes with its old connections.
+    It must have been fenced, and must become a replica.
     """
     first = primary_of(cluster)
     with Writers(cluster) as writers:
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
         cluster.upstreams[first].signal(signal.SIGSTOP)
         wait_for(lambda: any(by != first for _, _, by in writers.acked))
         cluster.upstreams[first].signal(signal.SIGCONT)
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
     wait_for(lambda: follows_again(cluster, first))
     check_once(cluster, writers, "d1")
 
 
 def follows_again(cluster, name):
-    """Tell whether a member takes part as a replica."""
+    """Return whether an upstream is a replica in the current term."""
     _, board = cluster.home()
     item = next(item for item in board["upstreams"] if item["id"] == name)
     return item["promised"] == board["term"] and not item["primary"]
@@ -71,25 +71,24 @@
 def test_short_freeze_promotes_nobody(cluster):
     first = primary_of(cluster)
     with Writers(cluster) as writers:
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
         cluster.upstreams[first].signal(signal.SIGSTOP)
         time.sleep(0.15)
         cluster.upstreams[first].signal(signal.SIGCONT)
-        time.sleep(2 * WORK)
+        time.sleep(2 * WORK_SECONDS)
     assert cluster.home()[1]["term"] == 1
     check_once(cluster, writers, "d2")
 
 
 def test_silent_connections_promote_nobody(cluster):
-    """
-    Symptom it guards against: a healthy primary is deposed.
-    Sequence: something between the ends forgets the open connections; they stay
-    open and silent; new ones work.
-    Cause it would have: silence of a connection taken for silence of the primary.
+    """Guards against a failover from a healthy primary.
+
+    A middlebox drops the state of open connections: they stay open and silent, while
+    new ones work. A silent connection doesn't mean that the primary is silent.
     """
     first = primary_of(cluster)
     with Writers(cluster) as writers:
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
         cluster.upstream_sql(first, "CALL test_mute()")
         muted = time.monotonic()
         wait_for(lambda: any(at > muted + 1.0 for at, _, _ in writers.acked))
@@ -97,11 +96,11 @@
     check_once(cluster, writers, "d0")
 
 
-def test_lost_commit_answer_runs_once(cluster):
-    """
-    Symptom it guards against: a submission stands twice.
-    Sequence: the commit takes effect; its answer never comes; the proxy tries again.
-    Cause it would have: the retry runs without looking into the ledger.
+def test_write_with_a_lost_commit_response_runs_once(cluster):
+    """Guards against a submission that is stored twice.
+
+    The commit takes effect but its response is lost, and the proxy retries. The retry
+    must look up the key in the ledger.
     """
     sql = INSERT + " /* lose */"
     answer = cluster.query("d0", "submit", sql, ["lost"], Idempotency_Key="lost")
@@ -111,60 +110,60 @@
     assert read.body.get("rows") == [[1]], read.body
 
 
-def test_killed_home_moves_on(cluster):
+def test_killed_home_is_replaced(cluster):
     home = cluster.home()[0]
     with Writers(cluster) as writers:
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
         killed = time.monotonic()
         cluster.daemons[home].signal(signal.SIGKILL)
-        wait_for(lambda: any(at > killed + WORK for at, _, _ in writers.acked))
+        wait_for(lambda: any(at > killed + WORK_SECONDS for at, _, _ in writers.acked))
     check_once(cluster, writers, cluster.live_daemons()[0])
 
 
-def test_frozen_home_moves_on_and_returns(cluster):
+def test_frozen_home_is_replaced_and_returns(cluster):
     home = cluster.home()[0]
     with Writers(cluster, skip=[home]) as writers:
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
         cluster.daemons[home].signal(signal.SIGSTOP)
         frozen = time.monotonic()
-        wait_for(lambda: any(at > frozen + WORK for at, _, _ in writers.acked))
+        wait_for(lambda: any(at > frozen + WORK_SECONDS for at, _, _ in writers.acked))
         cluster.daemons[home].signal(signal.SIGCONT)
-        time.sleep(2 * WORK)
+        time.sleep(2 * WORK_SECONDS)
     check_once(cluster, writers, home)
 
 
 def test_drain_cuts_off_no_request(cluster):
-    """
-    Symptom it guards against: callers see resets during a rolling restart.
-    Sequence: the home gets SIGTERM while requests run and wait.
-    Cause it would have: sockets close before the last answer is written.
+    """Guards against connection resets during a rolling restart.
+
+    The home gets SIGTERM while requests run and wait. It must not close its sockets
+    before the last response is written.
     """
     home = cluster.home()[0]
     with Writers(cluster) as writers:
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
         writers.skip.add(home)
         cluster.daemons[home].signal(signal.SIGTERM)
-        assert cluster.daemons[home].popen.wait(GAP_LIMIT) == 0
-        time.sleep(WORK)
+        assert cluster.daemons[home].popen.wait(MAX_GAP) == 0
+        time.sleep(WORK_SECONDS)
     assert writers.resets == []
     check_once(cluster, writers, cluster.live_daemons()[0])
 
 
 def test_draining_daemon_serves_until_the_balancer_has_noticed():
-    """
-    Symptom: callers were refused during a rolling restart of idle daemons.
-    Sequence: SIGTERM; nothing is in flight; the balancer asks again a moment later.
-    Cause: the daemon left as soon as it was idle.
+    """Guards against refused callers during a rolling restart of idle daemons.
+
+    A daemon gets SIGTERM while no request is in flight. If it exited as soon as it was
+    idle, the balancer's next health check would come too late.
     """
     with Cluster(tuning={"drain_notice": 6.0}) as cluster:
         daemon = cluster.daemons["d2"]
         daemon.signal(signal.SIGTERM)
         wait_for(lambda: cluster.health("d2").status == 503)
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
         wrote = cluster.query("d2", "submit", INSERT, ["late"], Idempotency_Key="l1")
         assert wrote.status == 200, wrote.body
         assert wrote.headers["Connection"] == "close"
-        assert daemon.popen.wait(GAP_LIMIT) == 0
+        assert daemon.popen.wait(MAX_GAP) == 0
 
 
 def begin(cluster, daemon):
@@ -201,12 +200,12 @@
     assert after.body["rows"] == [[1]]
 
 
-def test_transaction_outlives_the_move_of_its_home(cluster):
-    """
-    Symptom: commits were refused with "the snapshot is outdated", or "claim lost".
-    Sequence: a transaction opens at one home; another daemon becomes home and
-    claims the group; the transaction commits at the first.
-    Cause: the commit gave up when it found another daemon's claim.
+def test_transaction_survives_a_change_of_home(cluster):
+    """Guards against commits refused with "the snapshot is outdated" or "claim lost".
+
+    A transaction opens at one home, another daemon becomes home and claims the group,
+    and the transaction commits at the first. The commit must not fail because another
+    daemon holds the claim.
     """
     home = cluster.home()[0]
     tx = begin(cluster, home)
@@ -237,11 +236,11 @@
     assert answer.status == 409
 
 
-def test_lost_caller_is_rolled_back():
-    """
-    Symptom it guards against: a vanished caller's locks and rows stay for ever.
-    Sequence: a caller opens a transaction, writes, and is never heard of again.
-    Cause it would have: nothing ends a transaction but its caller.
+def test_transaction_of_a_lost_caller_is_rolled_back():
+    """Guards against locks and rows that a lost caller leaves behind permanently.
+
+    A caller opens a transaction, writes, and sends nothing more. The daemon must end
+    the transaction after the idle timeout.
     """
     with Cluster(tuning={"tx_idle": 0.5}) as cluster:
         tx = begin(cluster, "d0")
@@ -255,11 +254,10 @@
 
 
 def test_daemon_starts_while_the_platform_is_down(cluster):
-    """
-    Symptom it guards against: a restart during an outage serves nobody, or serves
-    an old manifest.
-    Sequence: the platform goes down; a new daemon starts with seeds only.
-    Cause it would have: manifests come from the platform alone.
+    """Guards against a daemon that, restarted during an outage, serves nothing.
+
+    Or it would serve an old manifest: the platform goes down and a new daemon starts
+    with seeds only, so that it must get the manifests from other daemons.
     """
     cluster.set_faults(down=True)
     cluster.spawn_daemon(3).wait_ready()
@@ -272,13 +270,13 @@
     cluster.set_faults(down=True)
     first = primary_of(cluster)
     with Writers(cluster) as writers:
-        time.sleep(WORK)
+        time.sleep(WORK_SECONDS)
         cluster.upstreams[first].signal(signal.SIGKILL)
         wait_for(lambda: any(by != first for _, _, by in writers.acked))
     check_once(cluster, writers, "d0")
 
 
-def test_group_that_refuses_connections_is_told_truthfully(cluster):
+def test_unreachable_group_is_reported_as_not_run(cluster):
     for process in cluster.upstreams.values():
         process.signal(signal.SIGKILL)
     wrote = cluster.query(
