--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers in virtual time: they write, read and transact, roaming between daemons."""
+"""Callers in virtual time that write, read and open transactions at any daemon."""
 
 from random import Random
 
@@ -6,14 +6,14 @@
 from tests.fakes.world import get, put
 from tests.invariants import done
 
-THINK = 0.04
+THINK_TIME = 0.04
 DEADLINE = 1.5
-SETTLE_PAUSE = 0.2
+OUTCOME_RETRY_DELAY = 0.2
 TX_TRIES = 3
 
 
 class Caller:
-    """One applicant: its own cells, its own order, honest retries."""
+    """A caller with its own cells that retries under the same key."""
 
     def __init__(self, *, world, checker, name, neighbour, token=True, writes=True):
         self.world = world
@@ -34,11 +34,11 @@
         self.asked_at = 0.0
 
     def start(self):
-        """Begin after a moment of one's own."""
-        self.world.clock.after(self.rng.random() * THINK, self.step)
+        """Start after a random delay."""
+        self.world.clock.after(self.rng.random() * THINK_TIME, self.step)
 
-    def host(self):
-        """Any daemon that takes callers; the balancer avoids dead ones."""
+    def choose_host(self):
+        """Choose a daemon that accepts callers, as a load balancer does."""
         names = [
             name
             for name, host in self.world.hosts.items()
@@ -46,13 +46,13 @@
         ]
         return self.rng.choice(names or list(self.world.hosts))
 
-    def ask(self, on_answer, **fields):
-        """Ask something through any daemon."""
+    def send(self, on_answer, **fields):
+        """Send a request to any daemon."""
         self.asked_at = self.world.clock.now
         verb = fields.pop("verb")
         session = self.session if self.token else None
         self.world.ask(
-            self.host(),
+            self.choose_host(),
             verb,
             on_answer,
             caller=self.name,
@@ -61,13 +61,13 @@
             **fields,
         )
 
-    def next(self, pause=THINK):
-        """Go on after a moment."""
+    def schedule_next(self, delay=THINK_TIME):
+        """Schedule the next step unless stopped."""
         if not self.stopped:
-            self.world.clock.after(pause, self.step)
+            self.world.clock.after(delay, self.step)
 
     def step(self):
-        """Do something."""
+        """Run a random operation."""
         choice = self.rng.random()
         if choice < 0.5 or not self.writes:
             self.read()
@@ -84,64 +84,66 @@
         self.try_write(f"{self.name}-{self.value}")
 
     def try_write(self, key):
-        """Try a write under its key."""
+        """Send a write with its key."""
         self.checker.trying(self.cell, self.value)
-        self.ask(
-            lambda answer: self.wrote(answer, key),
+        self.send(
+            lambda answer: self.handle_write_answer(answer, key),
             key=key,
             **put(self.cell, self.value, self.name),
         )
 
-    def wrote(self, answer, key):
-        """Take a write's answer as it is; ask again where it is not known."""
+    def handle_write_answer(self, answer, key):
+        """Record a write's outcome, or query it if it is unknown."""
         self.answers.append((self.world.clock.now, answer))
         if done(answer):
-            self.acknowledged(answer)
+            self.record_write(answer)
         elif answer.outcome is Outcome.NOT_RUN:
             self.checker.refused(self.cell, self.value)
             if self.rng.random() < 0.5:
-                self.world.clock.after(THINK, self.try_write, key)
+                self.world.clock.after(THINK_TIME, self.try_write, key)
                 return
-            self.next()
+            self.schedule_next()
         else:
-            self.world.clock.after(SETTLE_PAUSE, self.settle, key)
+            self.world.clock.after(OUTCOME_RETRY_DELAY, self.query_outcome, key)
 
-    def acknowledged(self, answer):
-        """The write is done."""
+    def record_write(self, answer):
+        """Record a confirmed write."""
         self.checker.wrote(self.cell, self.value)
         self.own[self.cell] = self.value
         self.session = answer.position
-        self.next(0.0)
+        self.schedule_next(0.0)
 
-    def settle(self, key):
-        """Ask for the outcome of a write."""
-        self.ask(
-            lambda answer: self.settled(answer, key),
+    def query_outcome(self, key):
+        """Query the outcome of a write."""
+        self.send(
+            lambda answer: self.handle_outcome(answer, key),
             verb=Verb.OUTCOME,
             key=key,
             keyed=True,
         )
 
-    def settled(self, answer, key):
-        """The outcome is known, or not yet."""
-        self.wrote(answer, key)
+    def handle_outcome(self, answer, key):
+        """Handle the outcome like the answer to the write."""
+        self.handle_write_answer(answer, key)
 
     # Reads
 
     def read(self):
-        """Read the own cells and somebody else's."""
+        """Read the caller's own cells and its neighbour's."""
         kind = self.rng.choice(("status", "status", "review"))
         cells = (self.cell, f"{self.name}.x", self.neighbour)
         tag = f"{self.name}/{self.rng.random()}"
         sent_at = self.world.clock.now
         own = dict(self.own)
-        self.ask(
-            lambda answer: self.was_read(answer, cells, tag, kind, own, sent_at),
+        self.send(
+            lambda answer: self.handle_read_answer(
+                answer, cells, tag, kind, own, sent_at
+            ),
             **get(" ".join(cells), tag, kind),
         )
 
-    def was_read(self, answer, cells, tag, kind, own, sent_at):
-        """Check a read's answer."""
+    def handle_read_answer(self, answer, cells, tag, kind, own, sent_at):
+        """Check the answer to a read."""
         self.answers.append((self.world.clock.now, answer))
         if done(answer):
             kinds = self.world.platform.specs["grid"].kind_by_name
@@ -156,68 +158,68 @@
                 max_age_ms=kinds[kind].max_age_ms,
                 sent_at=sent_at,
             )
-        self.next()
+        self.schedule_next()
 
     # Transactions
 
     def begin(self):
-        """Open a transaction that sets two cells together."""
+        """Open a transaction that sets two cells atomically."""
         self.tx_value += 1
-        self.ask(self.begun, verb=Verb.BEGIN, kind="plan")
+        self.send(self.handle_begin_answer, verb=Verb.BEGIN, kind="plan")
 
-    def begun(self, answer):
-        """The transaction is open, or not."""
+    def handle_begin_answer(self, answer):
+        """Set the first cell if the transaction is open."""
         if not done(answer):
-            self.next()
+            self.schedule_next()
             return
-        self.put_in(answer.tx, "x")
+        self.set_cell(answer.tx, "x")
 
-    def put_in(self, tx, part):
-        """Set one cell of the pair."""
+    def set_cell(self, tx, part):
+        """Set one of the two cells."""
         statement = Statement(
             sql=f"insert {self.name}.{part}", params=(self.tx_value, self.name)
         )
-        self.ask(
-            lambda answer: self.was_put(answer, tx, part),
+        self.send(
+            lambda answer: self.handle_set_answer(answer, tx, part),
             verb=Verb.TX_QUERY,
             tx=tx,
             statement=statement,
         )
 
-    def was_put(self, answer, tx, part):
-        """Go on with the pair, or end the transaction."""
+    def handle_set_answer(self, answer, tx, part):
+        """Set the second cell, commit, or roll back after a failure."""
         if not done(answer):
             self.checker.refused(f"{self.name}.x", self.tx_value)
             self.checker.refused(f"{self.name}.y", self.tx_value)
-            self.ask(lambda _: self.next(), verb=Verb.ROLLBACK, tx=tx)
+            self.send(lambda _: self.schedule_next(), verb=Verb.ROLLBACK, tx=tx)
             return
         if part == "x":
-            self.put_in(tx, "y")
+            self.set_cell(tx, "y")
             return
-        self.ask(
-            self.committed,
+        self.send(
+            self.handle_commit_answer,
             verb=Verb.COMMIT,
             tx=tx,
             key=f"{self.name}-tx-{self.tx_value}",
             keyed=True,
         )
 
-    def committed(self, answer):
-        """Take a commit's answer as it is."""
+    def handle_commit_answer(self, answer):
+        """Record a commit's outcome, or query it if it is unknown."""
         if done(answer):
             for part in "xy":
                 self.checker.wrote(f"{self.name}.{part}", self.tx_value)
                 self.own[f"{self.name}.{part}"] = self.tx_value
             self.session = answer.position
-            self.next(0.0)
+            self.schedule_next(0.0)
         elif answer.outcome is Outcome.NOT_RUN:
             for part in "xy":
                 self.checker.refused(f"{self.name}.{part}", self.tx_value)
-            self.next()
+            self.schedule_next()
         else:
             key = f"{self.name}-tx-{self.tx_value}"
-            self.world.clock.after(SETTLE_PAUSE, self.settle_tx, key)
+            self.world.clock.after(OUTCOME_RETRY_DELAY, self.query_commit_outcome, key)
 
-    def settle_tx(self, key):
-        """Ask for the outcome of a commit."""
-        self.ask(self.committed, verb=Verb.OUTCOME, key=key, keyed=True)
+    def query_commit_outcome(self, key):
+        """Query the outcome of a commit."""
+        self.send(self.handle_commit_answer, verb=Verb.OUTCOME, key=key, keyed=True)
