--- a/packages/daemon/gypsum_daemon/feed.py
+++ b/packages/daemon/gypsum_daemon/feed.py
@@ -1,4 +1,4 @@
-"""What the daemon learns from the platform, and the little it tells it."""
+"""Reads instances and manifests from the platform and records the leader status."""
 
 import asyncio
 import json
@@ -14,15 +14,15 @@
 PART = "platform"
 DATABASES = "databases"
 STATUS = "status"
-WATCH_WAIT = 20.0
-SLOWEST_RETRY = 5.0
-FIRST_RETRY = 0.2
-IDLE_CHECK = 0.5
+WATCH_TIMEOUT = 20.0
+MAX_RETRY_DELAY = 5.0
+MIN_RETRY_DELAY = 0.2
+IDLE_CHECK_INTERVAL = 0.5
 SOURCE = "platform"
 
 
 class PlatformFeed:
-    """Keeps the node informed; an outage of the platform only slows it."""
+    """Passes the platform's state to the node; an outage only delays updates."""
 
     def __init__(self, *, shell, client, settings):
         self.shell = shell
@@ -33,21 +33,21 @@
         self.tasks = set()
 
     def start(self):
-        """Start watching; seeds stand in for the list until it is known."""
+        """Start watching; the seeds are used until the instance list is loaded."""
         if self.settings.seeds:
-            self.shell.feed(InstancesReceived(instances=self.seed_instances()))
+            self.shell.handle_event(InstancesReceived(instances=self.seed_instances()))
         self.shell.record_status = self.record_status
-        for loop in (self.follow_instances, self.follow_manifests):
-            self.spawn(loop())
+        for watch in (self.poll_instances, self.watch_manifests):
+            self.spawn(watch())
 
-    def spawn(self, work):
-        """Run something beside the loop until it ends or we stop."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine):
+        """Run a coroutine as a task that `stop` cancels."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def seed_instances(self):
-        """The seeds and this daemon as instances."""
+        """Return the seeds and this daemon as instances."""
         own = Instance(
             id=self.settings.daemon,
             role=InstanceRole.DAEMON,
@@ -70,11 +70,11 @@
         for task in list(self.tasks):
             task.cancel()
 
-    async def follow_instances(self):
-        """Read the instance list once, and at intervals while we watch.
+    async def poll_instances(self):
+        """Read the instance list once, and at intervals while this daemon watches.
 
-        What goes wrong if everyone reads it: the platform's calls grow with the
-        fleet, and 4,000 daemons ask for more than it answers.
+        If every daemon polled it, the calls would grow with the fleet: 4,000 daemons
+        would send more than the platform can answer.
         """
         while True:
             if self.shell.node.should_poll_instances():
@@ -86,54 +86,54 @@
         try:
             listing = await self.client.list_instances()
         except (PlatformError, HTTPClientError) as exc:
-            logs.write(PART, f"no instance list: {exc}")
+            logs.write(PART, f"cannot read the instance list: {exc}")
             return
-        self.shell.feed(
+        self.shell.handle_event(
             InstancesReceived(instances=listing.instances, revision=listing.revision)
         )
 
-    async def follow_manifests(self):
-        """Load all manifests once, then watch while it is our turn to."""
-        pause = FIRST_RETRY
+    async def watch_manifests(self):
+        """Load all manifests, then watch them while this daemon is a watcher."""
+        delay = MIN_RETRY_DELAY
         while True:
             try:
-                await self.follow_once()
-                pause = FIRST_RETRY
+                await self.update_manifests()
+                delay = MIN_RETRY_DELAY
             except (PlatformError, HTTPClientError, KeyError) as exc:
-                logs.write(PART, f"no manifests: {exc}")
-                await asyncio.sleep(pause)
-                pause = min(SLOWEST_RETRY, 2 * pause)
+                logs.write(PART, f"cannot read the manifests: {exc}")
+                await asyncio.sleep(delay)
+                delay = min(MAX_RETRY_DELAY, 2 * delay)
 
-    async def follow_once(self):
-        """One call: the first listing, a watch, or a rest."""
+    async def update_manifests(self):
+        """List the manifests, wait for changes, or sleep if others watch."""
         if not self.loaded:
             listing = await self.client.list_objects(DATABASES)
-            self.take(listing, complete=True)
+            self.apply_listing(listing, complete=True)
             self.loaded = True
         elif self.shell.node.manifests.is_watcher():
             listing = await self.client.watch(
-                DATABASES, since=self.revision, wait=WATCH_WAIT
+                DATABASES, since=self.revision, wait=WATCH_TIMEOUT
             )
-            self.take(listing, complete=False)
+            self.apply_listing(listing, complete=False)
         else:
-            # Others watch for us and pass changes on.
-            await asyncio.sleep(IDLE_CHECK)
+            # Other daemons watch and forward changes.
+            await asyncio.sleep(IDLE_CHECK_INTERVAL)
 
-    def take(self, listing, *, complete):
-        """Hand a listing over; the revision only rises, as answers may be old."""
+    def apply_listing(self, listing, *, complete):
+        """Apply a listing; the revision never decreases, as responses may be stale."""
         self.revision = max(self.revision, listing.revision)
         entries = tuple(
             ManifestEntry(database=item.name, version=item.version, body=item.body)
             for item in listing.objects
         )
-        self.shell.feed_manifests(entries, source=SOURCE, complete=complete)
+        self.shell.handle_manifests(entries, source=SOURCE, complete=complete)
 
     def record_status(self, action):
-        """Write who leads into the status object, best effort."""
+        """Write the leader into the status object, best effort."""
         self.spawn(self.put_status(action))
 
     async def put_status(self, action):
-        """Write the status unless a later term stands there already."""
+        """Write the status unless the stored one has a later term."""
         body = json.dumps(
             {
                 "primary": action.primary,
--- a/packages/daemon/gypsum_daemon/main.py
+++ b/packages/daemon/gypsum_daemon/main.py
@@ -22,8 +22,8 @@
 
 PART = "daemon"
 DISCARDED_BODY_LIMIT = 1 << 28
-GOODBYE_SECONDS = 0.2
-LAST_ANSWER_LOOKS = 50
+SHUTDOWN_POLL_SECONDS = 0.2
+MAX_SHUTDOWN_POLLS = 50
 
 
 @cappa.command(name="gypsumhitchd", help="The database proxy daemon.")
@@ -67,34 +67,34 @@
         client=PlatformClient(base_url=settings.platform),
         settings=settings,
     )
-    handle_signals(shell)
+    install_signal_handlers(shell)
     shell.start()
     feed.start()
-    announce(settings, ports)
+    print_ready(settings, ports)
     await shell.exited.wait()
     await shut_down(shell, feed, caller_server, operator_server)
 
 
 def listen(server, address):
-    """Bind a server; returns its port."""
+    """Bind a server and return its port."""
     try:
         sockets = bind_sockets(address.port, address.host)
     except OSError as exc:
-        raise cannot_listen(address, exc) from None
+        raise listen_error(address, exc) from None
     server.add_sockets(sockets)
     return sockets[0].getsockname()[1]
 
 
 async def listen_for_peers(shell, address):
-    """Accept links of other daemons; returns the port."""
+    """Listen for links of other daemons and return the port."""
     try:
         return await shell.links.listen(address.host, address.port)
     except OSError as exc:
-        raise cannot_listen(address, exc) from None
+        raise listen_error(address, exc) from None
 
 
-def cannot_listen(address, exc):
-    """The error for an address that cannot be bound."""
+def listen_error(address, exc):
+    """Return the error for an address that cannot be bound."""
     return UserError(
         f"cannot listen: {exc.strerror or exc}",
         step="start",
@@ -102,15 +102,15 @@
     )
 
 
-def handle_signals(shell):
-    """SIGTERM and SIGINT begin the graceful shutdown."""
+def install_signal_handlers(shell):
+    """Drain the daemon on SIGTERM and SIGINT."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shell.drain)
 
 
-def announce(settings, ports):
-    """Say on standard output that the daemon is up, and where."""
+def print_ready(settings, ports):
+    """Print to standard output that the daemon is ready, and its ports."""
     print(
         f"ready {settings.daemon} callers={ports.callers} peers={ports.peers} "
         f"operators={ports.operators}",
@@ -119,15 +119,15 @@
 
 
 async def shut_down(shell, feed, caller_server, operator_server):
-    """Close everything after the last answer was handed out.
+    """Close all components after the last response was written.
 
-    Each part is closed whatever became of the others; what failed is raised
-    together, so that one broken part does not hide another.
+    All are closed even if some fail, and the errors are raised together, so that
+    one doesn't hide another.
     """
     caller_server.stop()
     operator_server.stop()
-    await asyncio.sleep(GOODBYE_SECONDS)
-    await let_last_answers_out(shell)
+    await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
+    await wait_for_pending_requests(shell)
     feed.stop()
     closing = (caller_server.close_all_connections(), shell.close())
     results = await asyncio.gather(*closing, return_exceptions=True)
@@ -137,22 +137,22 @@
     logs.write(PART, "stopped")
 
 
-async def let_last_answers_out(shell):
-    """Wait, within a bound, for requests that came while the listener closed."""
-    for _ in range(LAST_ANSWER_LOOKS):
-        if not shell.waiting:
+async def wait_for_pending_requests(shell):
+    """Wait up to 10 s for requests that arrived while the listener closed."""
+    for _ in range(MAX_SHUTDOWN_POLLS):
+        if not shell.pending:
             return
-        await asyncio.sleep(GOODBYE_SECONDS)
+        await asyncio.sleep(SHUTDOWN_POLL_SECONDS)
 
 
 def run(command):
-    """Load the settings and serve; returns the exit code."""
+    """Load the settings and serve; return the exit code."""
     try:
         settings = load_settings(command.settings)
         if command.check:
             print(f"{command.settings}: the settings are in order")
             return 0
-        logs.set_up(settings.log_format)
+        logs.configure(settings.log_format)
         asyncio.run(serve(settings))
     except UserError as exc:
         print(f"gypsumhitchd: {exc}", file=sys.stderr)
--- a/packages/daemon/gypsum_daemon/problems.py
+++ b/packages/daemon/gypsum_daemon/problems.py
@@ -1,4 +1,4 @@
-"""Failures as `application/problem+json` (RFC 9457)."""
+"""Errors as `application/problem+json` (RFC 9457)."""
 
 import math
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 CONTENT_TYPE = "application/problem+json"
 TYPE_PREFIX = "urn:gypsumhitch:"
 
-STATUS_OF_REASON = {
+STATUS_BY_REASON = {
     Reason.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
     Reason.SQL_ERROR: HTTPStatus.UNPROCESSABLE_ENTITY,
     Reason.KEY_REUSED: HTTPStatus.UNPROCESSABLE_ENTITY,
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """One failure as the caller sees it."""
+    """An error as returned to the caller."""
 
     status: int
     reason: str
@@ -34,7 +34,7 @@
     retry_after_s: float = 0.0
 
     def body(self):
-        """The JSON form."""
+        """Return the JSON document."""
         return {
             "type": f"{TYPE_PREFIX}{self.reason}",
             "title": HTTPStatus(self.status).phrase,
@@ -48,14 +48,14 @@
         }
 
     def retry_after(self):
-        """Whole seconds for Retry-After; empty when coming back does not help."""
+        """Return whole seconds for Retry-After; empty if a retry does not help."""
         return str(math.ceil(self.retry_after_s)) if self.retry_after_s > 0 else ""
 
 
-def problem_of(answer):
-    """The problem that an unsuccessful answer stands for."""
+def make_problem(answer):
+    """Convert an unsuccessful answer into a problem."""
     unavailable = HTTPStatus.SERVICE_UNAVAILABLE
-    status = STATUS_OF_REASON.get(answer.reason, unavailable)
+    status = STATUS_BY_REASON.get(answer.reason, unavailable)
     if answer.outcome is Outcome.UNKNOWN:
         status = HTTPStatus.GATEWAY_TIMEOUT
     return Problem(
