--- a/soak/troubles.py
+++ b/soak/faults.py
@@ -4,7 +4,7 @@
 import signal
 import time
 
-from soak.plan import PLANNED
+from soak.schedule import PLANNED
 
 # After its trouble a daemon may be out of touch for this much longer, seconds.
 OUT_OF_TOUCH = 5.0
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -8,7 +8,7 @@
 from itertools import count
 from pathlib import Path
 
-from soak.wire import Wire
+from soak.tcpproxy import Wire
 from soak.workspaces import key_of
 from tests.standins.platformworld import ROOT, Client, free_port, start_process
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 from random import Random
 
-from soak.book import Book, Stats
 from soak.callers import Caller
-from soak.configs import Configs
+from soak.checker import Book, Stats
+from soak.configchanges import Configs
+from soak.faults import Troubles
 from soak.fleet import Fleet, StandInProcess, connect
-from soak.plan import PLANNED, RETURNS, WEIGHTS, draw
-from soak.troubles import Troubles
+from soak.schedule import PLANNED, RETURNS, WEIGHTS, draw
 from tests.standins.platformworld import CONNECTIONS, says_ready
 
 # Callers for each daemon: more than its connections to a member.
--- a/soak/plan.py
+++ b/soak/schedule.py
@@ -1,6 +1,6 @@
 """What happens in a soak, and when, drawn from its seed: troubles that overlap.
 
-A trouble is the name of a method of `soak.troubles.Troubles`, with the time for which
+A trouble is the name of a method of `soak.faults.Troubles`, with the time for which
 it lasts.
 """
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,12 +6,12 @@
 import pytest
 
 from gypsum_sessions.catalog import ReadRule
-from soak.book import CALM_FOR, DRAIN_LIMIT, Book
-from soak.configs import IN_FORCE, Configs
-from soak.plan import PLANNED, RETURNS, draw
+from soak.checker import CALM_FOR, DRAIN_LIMIT, Book
+from soak.configchanges import IN_FORCE, Configs
+from soak.faults import Troubles
 from soak.run import soak
-from soak.troubles import Troubles
-from soak.wire import Wire
+from soak.schedule import PLANNED, RETURNS, draw
+from soak.tcpproxy import Wire
 from soak.workspaces import NAMES, workspace_of
 from tests.promises import Acked, SentRead
 from tests.standins.platformworld import World
