--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: real daemons, faults from outside, promises checked while it runs."""
+"""Soak test: real daemon processes under injected faults, with guarantees checked."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m soak`: play seeds, print what was found, keep logs of what was broken."""
+"""`python -m soak`: run seeds, print findings and keep the logs of failed runs."""
 
 import asyncio
 import shutil
@@ -15,62 +15,70 @@
 from soak.run import soak
 from tests.standins.platformworld import CONNECTIONS
 
-FRESH = 1 << 31
+MAX_SEED = 1 << 31
 
 
-@cappa.command(name="soak", help="Faults against real daemons; promises are checked.")
+@cappa.command(
+    name="soak", help="Inject faults into real daemons and check guarantees."
+)
 @dataclass
 class Soak:
-    """Options of the soak."""
+    """Command-line options."""
 
     seed: Annotated[
-        int | None, cappa.Arg(long=True, help="First seed; drawn if left out.")
+        int | None, cappa.Arg(long=True, help="First seed; random by default.")
     ] = None
-    runs: Annotated[int, cappa.Arg(long=True, help="How many seeds.")] = 1
-    minutes: Annotated[float, cappa.Arg(long=True, help="Troubles of one run.")] = 1.0
-    daemons: Annotated[int, cappa.Arg(long=True, help="Processes.")] = 9
+    runs: Annotated[int, cappa.Arg(long=True, help="Number of seeds.")] = 1
+    minutes: Annotated[
+        float, cappa.Arg(long=True, help="Duration of the faults of one run.")
+    ] = 1.0
+    daemons: Annotated[int, cappa.Arg(long=True, help="Number of daemons.")] = 9
     connections: Annotated[
-        int, cappa.Arg(long=True, help="What an upstream takes; few: owners.")
+        int,
+        cappa.Arg(
+            long=True, help="Connections per upstream; a low value limits owners."
+        ),
     ] = CONNECTIONS
     planned: Annotated[
-        bool, cappa.Arg(long=True, help="Restarts and changes alone.")
+        bool, cappa.Arg(long=True, help="Only restarts and configuration changes.")
     ] = False
     returns: Annotated[
-        bool, cappa.Arg(long=True, help="Also a store that returns from older copies.")
+        bool, cappa.Arg(long=True, help="Also restore the store from older copies.")
     ] = False
     keep: Annotated[
-        Path | None, cappa.Arg(long=True, help="Folder of logs; one of its own if not.")
+        Path | None,
+        cappa.Arg(long=True, help="Folder for logs; a temporary one by default."),
     ] = None
 
 
 def main(options):
-    """Play the seeds; 1 if anything was found."""
+    """Run the seeds; return 1 if any run had findings, else 0."""
     first = options.seed
     if first is None:
-        first = SystemRandom().randrange(FRESH)
+        first = SystemRandom().randrange(MAX_SEED)
     folder = options.keep or Path(mkdtemp(prefix="soak-"))
-    found = 0
+    failed_runs = 0
     for seed in range(first, first + options.runs):
-        place = folder / str(seed)
-        began = time.strftime("%H:%M:%S")
+        run_folder = folder / str(seed)
+        started_at = time.strftime("%H:%M:%S")
         outcome = asyncio.run(
             soak(
                 seed=seed,
                 seconds=60 * options.minutes,
                 daemons=options.daemons,
-                folder=place,
+                folder=run_folder,
                 connections=options.connections,
                 planned=options.planned,
                 returns=options.returns,
             )
         )
-        print(began, *outcome.lines(), sep="\n", flush=True)
+        print(started_at, *outcome.lines(), sep="\n", flush=True)
         if outcome.broken or outcome.exits:
-            found += 1
-            print(f"logs and schedule in {place}", flush=True)
+            failed_runs += 1
+            print(f"logs and schedule in {run_folder}", flush=True)
         else:
-            shutil.rmtree(place)
-    return 1 if found else 0
+            shutil.rmtree(run_folder)
+    return 1 if failed_runs else 0
 
 
 if __name__ == "__main__":
--- a/soak/configchanges.py
+++ b/soak/configchanges.py
@@ -1,101 +1,113 @@
-"""Configurations of a soak, and whether they are in force where they have to be.
+"""Changes the configuration during a soak run and checks that daemons apply it.
 
-Routes come and go, and so do spare keys: a daemon in touch serves what is there and
-refuses what was taken away.
+Each change adds and removes routes and spare keys. A daemon that no fault affects has
+to accept what was added and refuse what was removed.
 """
 
 import asyncio
 import time
 
 from soak.fleet import connect
-from soak.workspaces import SPARE
+from soak.workspaces import SPARE_KEY_PREFIX
 
-# The users' bound on a change, and what a probe takes, seconds.
-IN_FORCE = 5.0
-PROBE_EVERY = 0.7
-OPEN_LIMIT = 2.0
-# A route that is always there.
+# Seconds within which a change has to be in force: the required limit plus the duration
+# of a probe.
+CHANGE_TIMEOUT = 5.0
+PROBE_INTERVAL = 0.7
+CONNECT_TIMEOUT = 2.0
+# A route that is never removed.
 KEYED_ROUTE = "own"
 
 
-class Configs:
-    """Adds and drops routes, and asks daemons in touch for them."""
+class ConfigChanges:
+    """Changes routes and keys, and probes unaffected daemons for them."""
 
-    def __init__(self, *, fleet, standins, book, rng):
+    def __init__(self, *, fleet, standins, checker, rng):
         self.fleet = fleet
         self.standins = standins
-        self.book = book
+        self.checker = checker
         self.rng = rng
-        self.number = 0
+        self.change_number = 0
         self.added = {}
-        self.dropped = {}
+        self.removed = {}
         self.keys = {}
         self.withdrawn = {}
         self.probes = 0
 
     async def change(self, bulk=0):
-        """A new version: a route and a key more, the oldest route and last key less."""
-        self.number += 1
-        name = f"extra{self.number}"
+        """Write a new version with a route and key added.
+
+        The previous key is withdrawn, and the oldest route is removed if there are more
+        than three. `bulk` is the number of further routes.
+        """
+        self.change_number += 1
+        name = f"extra{self.change_number}"
         old = list(self.added)[0] if len(self.added) > 3 else ""
         if old:
             del self.added[old]
-        await self.standins.do(
+        await self.standins.run_command(
             "configure",
             add=[name],
             drop=[old] if old else [],
             bulk=bulk,
-            keys=[f"{SPARE}{self.number}"],
+            keys=[f"{SPARE_KEY_PREFIX}{self.change_number}"],
         )
         now = time.monotonic()
         self.added[name] = now
         if old:
-            self.dropped[old] = now
+            self.removed[old] = now
         self.withdrawn |= dict.fromkeys(self.keys, now)
-        self.keys = {f"{SPARE}{self.number}": now}
+        self.keys = {f"{SPARE_KEY_PREFIX}{self.change_number}": now}
 
     async def run(self, until):
-        """Ask daemons in touch for routes, until a time of the monotonic clock."""
+        """Probe unaffected daemons until a time of the monotonic clock."""
         while time.monotonic() < until:
-            await asyncio.sleep(PROBE_EVERY)
-            for daemon in self.fleet.alive():
-                if daemon.troubled_until < time.monotonic() and not daemon.ended_by_us:
+            await asyncio.sleep(PROBE_INTERVAL)
+            for daemon in self.fleet.running():
+                if (
+                    daemon.affected_until < time.monotonic()
+                    and not daemon.stopped_by_soak
+                ):
                     await self.probe(daemon)
 
     async def probe(self, daemon):
-        """Ask one daemon for the newest route that is due, and one that is gone."""
-        for names, expected in ((self.added, True), (self.dropped, False)):
-            for name in newest_due(names):
-                await self.ask(daemon, name, expected)
+        """Check the last added and removed routes and keys that have to be in force."""
+        for names, expected in ((self.added, True), (self.removed, False)):
+            for name in newest_in_force(names):
+                await self.check_session(daemon, name, expected)
         for keys, expected in ((self.keys, True), (self.withdrawn, False)):
-            for key in newest_due(keys):
-                await self.ask(daemon, KEYED_ROUTE, expected, key)
+            for key in newest_in_force(keys):
+                await self.check_session(daemon, KEYED_ROUTE, expected, key)
+
+    async def check_session(self, daemon, name, expected, key=""):
+        """Open a session for a route, with `key` if given, and check the outcome.
 
-    async def ask(self, daemon, name, expected, key=""):
-        """Open a session for a route, with a spare key if one is given."""
+        Other errors than a refusal by the daemon are ignored, and so is the outcome if
+        a fault affected the daemon meanwhile.
+        """
         self.probes += 1
         sent = time.monotonic()
         try:
-            async with asyncio.timeout(OPEN_LIMIT):
+            async with asyncio.timeout(CONNECT_TIMEOUT):
                 client = await connect(daemon, name, f"p{self.probes}", key)
         except ConnectionRefusedError:
             return
         except ConnectionError as exc:
             if str(exc) != "refused":
                 return
-            found = False
+            accepted = False
         except OSError:
             return
         else:
-            found = True
+            accepted = True
             client.close()
-        if found != expected and daemon.troubled_until < sent:
-            word = "is served" if found else "is refused"
+        if accepted != expected and daemon.affected_until < sent:
+            word = "is served" if accepted else "is refused"
             asked = f"{name} {key}".strip()
-            self.book.broken.append(f"CONFIG {asked} {word} at {daemon.name}")
+            self.checker.broken.append(f"CONFIG {asked} {word} at {daemon.name}")
 
 
-def newest_due(names):
-    """The newest of some names that counts everywhere by now, if there is one."""
-    due = time.monotonic() - IN_FORCE
+def newest_in_force(names):
+    """Return the newest name whose change has to be in force, in a list, or []."""
+    due = time.monotonic() - CHANGE_TIMEOUT
     return [name for name, at in names.items() if at < due][-1:]
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,322 +1,348 @@
-"""The troubles of a soak: each begins, lasts, and is mended."""
+"""The faults of a soak run: each one starts, lasts, and is ended."""
 
 import asyncio
 import signal
 import time
 
-from soak.schedule import PLANNED
+from soak.schedule import PLANNED_WEIGHTS
 
-# After its trouble a daemon may be out of touch for this much longer, seconds.
-OUT_OF_TOUCH = 5.0
-LARGE = 1500
-DELAY = 0.08
-LAG = 1.0
-# How old the copies are from which the store returns, seconds.
+# Seconds after a fault for which a daemon may still not get updates from the store.
+RECOVERY_TIME = 5.0
+BULK_ROUTES = 1500
+NETWORK_DELAY = 0.08
+APPLY_LAG = 1.0
+# Ages of the copies from which the store is restored, seconds.
 COPY_AGES = (1.0, 5.0, 30.0)
 
 
-class Troubles:
-    """Carries steps out; `book` is told when all is calm."""
+class FaultInjector:
+    """Runs steps, and tells `checker` when no unplanned fault is active.
 
-    def __init__(self, *, fleet, standins, book, rng, configs):
+    The methods that a schedule names get the duration in seconds.
+    """
+
+    def __init__(self, *, fleet, standins, checker, rng, configs):
         self.fleet = fleet
         self.standins = standins
-        self.book = book
+        self.checker = checker
         self.rng = rng
         self.configs = configs
-        self.on = 0
-        self.joined = 0
+        self.active = 0
+        self.join_count = 0
 
-    async def play(self, step):
-        """One trouble from its beginning to its end."""
-        planned = step.trouble in PLANNED or step.trouble == "member_leaves"
+    async def run_step(self, step):
+        """Run one fault from its start to its end."""
+        planned = step.trouble in PLANNED_WEIGHTS or step.trouble == "member_leaves"
         if not planned:
-            self.on += 1
-            self.book.calm_since = float("inf")
+            self.active += 1
+            self.checker.fault_free_since = float("inf")
         try:
             await getattr(self, step.trouble)(step.lasts)
         finally:
             if not planned:
-                self.on -= 1
-                if not self.on:
-                    self.book.calm_since = time.monotonic()
+                self.active -= 1
+                if not self.active:
+                    self.checker.fault_free_since = time.monotonic()
 
     # Choices
 
     def any_daemon(self):
-        """A daemon, whatever state it is in."""
+        """Return a random daemon in any state."""
         return self.rng.choice(list(self.fleet.daemons.values()))
 
-    def some(self):
-        """A third of the daemons."""
+    def some_daemons(self):
+        """Return a random third of the daemons, at least one."""
         daemons = list(self.fleet.daemons.values())
         return self.rng.sample(daemons, max(1, len(daemons) // 3))
 
     def any_member(self):
-        """A member's name."""
+        """Return a random member's name."""
         return self.rng.choice(list(self.fleet.members))
 
     async def any_or_leader(self):
-        """The leader half of the time."""
-        leader = await self.standins.do("leader")
+        """Return the leader with a probability of at least one half, or any member."""
+        leader = await self.standins.run_command("leader")
         return leader if leader and self.rng.random() < 0.5 else self.any_member()
 
-    def trouble(self, daemons, lasts):
-        """Daemons are out of touch from now on until a while after a trouble."""
-        until = time.monotonic() + lasts + OUT_OF_TOUCH
+    def mark_affected(self, daemons, duration):
+        """Mark daemons as affected from now until RECOVERY_TIME after a fault."""
+        until = time.monotonic() + duration + RECOVERY_TIME
         for daemon in daemons:
-            daemon.troubled_until = max(daemon.troubled_until, until)
+            daemon.affected_until = max(daemon.affected_until, until)
 
     # Daemons
 
-    async def kill(self, lasts):
-        """A process is killed and started again."""
-        await self.restart(self.any_daemon(), signal.SIGKILL, lasts)
+    async def kill(self, duration):
+        """Kill a process and start it again."""
+        await self.restart(self.any_daemon(), signal.SIGKILL, duration)
 
-    async def drain(self, lasts):
-        """A process is told to end, and started again."""
-        await self.restart(self.any_daemon(), signal.SIGTERM, lasts)
+    async def drain(self, duration):
+        """Stop a process with SIGTERM and start it again."""
+        await self.restart(self.any_daemon(), signal.SIGTERM, duration)
 
-    async def drain_some(self, lasts):
-        """A third of the processes at the same moment: perhaps all owners."""
+    async def drain_some(self, duration):
+        """Stop a third of the processes at the same time, possibly all owners."""
         await asyncio.gather(
-            *(self.restart(daemon, signal.SIGTERM, lasts / 5) for daemon in self.some())
+            *(
+                self.restart(daemon, signal.SIGTERM, duration / 5)
+                for daemon in self.some_daemons()
+            )
         )
 
-    async def roll(self, lasts):
-        """Three processes in turn."""
-        for daemon in self.some():
+    async def roll(self, duration):
+        """Restart a third of the processes one after the other."""
+        for daemon in self.some_daemons():
             await self.restart(daemon, signal.SIGTERM, 0.2)
 
-    async def kill_all(self, lasts):
-        """All processes at once."""
+    async def kill_all(self, duration):
+        """Kill all processes at the same time."""
         await asyncio.gather(
             *(
-                self.restart(daemon, signal.SIGKILL, lasts)
+                self.restart(daemon, signal.SIGKILL, duration)
                 for daemon in self.fleet.daemons.values()
             )
         )
 
-    async def restart(self, daemon, number, lasts):
-        """End a process, and start it again after a while."""
-        if daemon.ended_by_us:
+    async def restart(self, daemon, signal_number, duration):
+        """Stop a process with a signal and start it again after `duration` seconds."""
+        if daemon.stopped_by_soak:
             return
-        self.trouble([daemon], 8.0 + lasts)
-        if number == signal.SIGTERM:
-            self.book.draining[daemon.name] = time.monotonic()
-        await self.fleet.end(daemon, number)
-        self.book.draining.pop(daemon.name, None)
-        await asyncio.sleep(lasts)
+        self.mark_affected([daemon], 8.0 + duration)
+        if signal_number == signal.SIGTERM:
+            self.checker.draining_since[daemon.name] = time.monotonic()
+        await self.fleet.stop_daemon(daemon, signal_number)
+        self.checker.draining_since.pop(daemon.name, None)
+        await asyncio.sleep(duration)
         await self.fleet.spawn(daemon)
-        self.trouble([daemon], OUT_OF_TOUCH)
+        self.mark_affected([daemon], RECOVERY_TIME)
 
-    async def pause(self, lasts):
-        """A process stands still."""
+    async def pause(self, duration):
+        """Suspend a process."""
         daemon = self.any_daemon()
-        self.trouble([daemon], lasts)
+        self.mark_affected([daemon], duration)
         self.fleet.pause(daemon)
-        await asyncio.sleep(lasts)
+        await asyncio.sleep(duration)
         self.fleet.resume(daemon)
 
-    async def hup(self, lasts):
-        """Processes are told to read their settings."""
-        for daemon in self.fleet.alive():
-            if not daemon.ended_by_us:
+    async def hup(self, duration):
+        """Tell all running processes to reload their settings."""
+        for daemon in self.fleet.running():
+            if not daemon.stopped_by_soak:
                 daemon.process.send_signal(signal.SIGHUP)
 
     # The store
 
-    async def store(self, lasts, **faults):
-        """The store is not well for all."""
-        self.trouble(self.fleet.daemons.values(), lasts)
-        await self.standins.do("store", **faults)
-        await asyncio.sleep(lasts)
-        await self.standins.do("store")
-
-    async def store_busy(self, lasts):
-        """It refuses every call."""
-        await self.store(lasts, busy=True)
-
-    async def store_silent(self, lasts):
-        """It answers nothing."""
-        await self.store(lasts, silent=True)
-
-    async def store_slow(self, lasts):
-        """Its answers take long."""
-        await self.store(lasts, slow=0.3)
-
-    async def store_lose(self, lasts):
-        """Writes are done and not answered."""
-        await self.store(lasts, lose=5)
-
-    async def store_forget(self, lasts):
-        """It forgets its history."""
-        await self.store(0.0, forget=True)
-
-    async def store_return(self, lasts):
-        """It is away for a moment and returns from an older copy."""
-        self.trouble(self.fleet.daemons.values(), lasts)
-        await self.standins.do("store", silent=True)
-        await asyncio.sleep(lasts / 2)
-        await self.standins.do("store_return", age=self.rng.choice(COPY_AGES))
-        await self.standins.do("store")
-
-    async def store_cut_from_some(self, lasts):
-        """It turns some daemons away."""
-        await self.wires([daemon.store for daemon in self.some()], lasts, refuse=True)
-
-    async def store_silent_for_some(self, lasts):
-        """Some daemons' connections to it go silent, and new ones as well."""
-        await self.wires([daemon.store for daemon in self.some()], lasts, silent=True)
-
-    async def store_reset(self, lasts):
-        """Connections to it are reset."""
+    async def store_fault(self, duration, **faults):
+        """Inject faults of the store that affect all daemons."""
+        self.mark_affected(self.fleet.daemons.values(), duration)
+        await self.standins.run_command("store", **faults)
+        await asyncio.sleep(duration)
+        await self.standins.run_command("store")
+
+    async def store_busy(self, duration):
+        """Refuse every call."""
+        await self.store_fault(duration, busy=True)
+
+    async def store_silent(self, duration):
+        """Answer no call."""
+        await self.store_fault(duration, silent=True)
+
+    async def store_slow(self, duration):
+        """Delay every answer."""
+        await self.store_fault(duration, slow=0.3)
+
+    async def store_lose(self, duration):
+        """Apply writes without answering them."""
+        await self.store_fault(duration, lose=5)
+
+    async def store_forget(self, duration):
+        """Discard the history of changes."""
+        await self.store_fault(0.0, forget=True)
+
+    async def store_return(self, duration):
+        """Make the store unavailable, then restore it from an older copy."""
+        self.mark_affected(self.fleet.daemons.values(), duration)
+        await self.standins.run_command("store", silent=True)
+        await asyncio.sleep(duration / 2)
+        await self.standins.run_command("store_return", age=self.rng.choice(COPY_AGES))
+        await self.standins.run_command("store")
+
+    async def store_cut_from_some(self, duration):
+        """Refuse the connections of some daemons."""
+        await self.proxy_fault(
+            [daemon.store_proxy for daemon in self.some_daemons()],
+            duration,
+            refuse=True,
+        )
+
+    async def store_silent_for_some(self, duration):
+        """Silence the open and new connections of some daemons."""
+        await self.proxy_fault(
+            [daemon.store_proxy for daemon in self.some_daemons()],
+            duration,
+            silent=True,
+        )
+
+    async def store_reset(self, duration):
+        """Reset half of the connections to the store."""
         for daemon in self.fleet.daemons.values():
-            daemon.store.reset(0.5, self.rng)
+            daemon.store_proxy.reset(0.5, self.rng)
 
-    async def strange_entry(self, lasts):
-        """Another writer leaves an entry."""
-        await self.standins.do("strange", name=f"x{self.rng.randint(0, 5)}")
+    async def strange_entry(self, duration):
+        """Write a malformed entry, as another writer could."""
+        await self.standins.run_command("strange", name=f"x{self.rng.randint(0, 5)}")
 
     # Upstreams
 
-    async def member_fault(self, lasts, what, value, well):
-        """A member has a fault for a while."""
+    async def member_fault(self, duration, what, value, normal):
+        """Set an attribute of a member to `value`, and to `normal` afterwards."""
         name = await self.any_or_leader()
-        await self.standins.do("member", name=name, what=what, value=value)
-        await asyncio.sleep(lasts)
-        await self.standins.do("member", name=name, what=what, value=well)
+        await self.standins.run_command("member", name=name, what=what, value=value)
+        await asyncio.sleep(duration)
+        await self.standins.run_command("member", name=name, what=what, value=normal)
 
-    async def upstream_crash(self, lasts):
-        """A member crashes, and comes back with its log."""
+    async def upstream_crash(self, duration):
+        """Crash a member and restart it with its log."""
         name = await self.any_or_leader()
-        if name in self.book.leaving:
+        if name in self.checker.leaving_since:
             return
-        await self.standins.do("member", name=name, what="crash")
-        await asyncio.sleep(lasts + 1.5)
-        await self.standins.do("member", name=name, what="restart")
+        await self.standins.run_command("member", name=name, what="crash")
+        await asyncio.sleep(duration + 1.5)
+        await self.standins.run_command("member", name=name, what="restart")
 
-    async def upstream_dark(self, lasts):
-        """A member answers nothing."""
-        await self.member_fault(lasts, "unresponsive", True, False)
+    async def upstream_dark(self, duration):
+        """Make a member answer nothing."""
+        await self.member_fault(duration, "unresponsive", True, False)
 
-    async def upstream_deaf(self, lasts):
-        """A member receives nothing."""
-        await self.member_fault(lasts, "not_receiving", True, False)
+    async def upstream_deaf(self, duration):
+        """Make a member receive nothing."""
+        await self.member_fault(duration, "not_receiving", True, False)
 
-    async def upstream_lag(self, lasts):
-        """A member applies late."""
-        await self.member_fault(lasts, "lag", LAG, 0.008)
+    async def upstream_lag(self, duration):
+        """Make a member apply changes late."""
+        await self.member_fault(duration, "lag", APPLY_LAG, 0.008)
 
-    async def primary_cut(self, lasts):
-        """The primary loses its replicas."""
-        name = await self.standins.do("leader")
+    async def primary_cut(self, duration):
+        """Cut the primary from its replicas."""
+        name = await self.standins.run_command("leader")
         if not name:
             return
-        await self.standins.do("member", name=name, what="cut", value=True)
-        await asyncio.sleep(lasts)
-        await self.standins.do("member", name=name, what="cut", value=False)
+        await self.standins.run_command("member", name=name, what="cut", value=True)
+        await asyncio.sleep(duration)
+        await self.standins.run_command("member", name=name, what="cut", value=False)
 
-    async def member_leaves(self, lasts):
-        """A new member joins, then an old one leaves and is gone."""
-        if self.joined >= 2:
+    async def member_leaves(self, duration):
+        """Add a member, then let an old one leave; at most twice in a run."""
+        if self.join_count >= 2:
             return
-        self.joined += 1
-        new = await self.standins.do("join")
-        await self.fleet.joined(new["member"], new["address"])
-        await self.standins.do("list", name=new["member"])
-        await asyncio.sleep(1.0 + lasts)
-        known = [name for name in self.fleet.members if name not in self.book.leaving]
+        self.join_count += 1
+        new = await self.standins.run_command("join")
+        await self.fleet.add_member(new["member"], new["address"])
+        await self.standins.run_command("list", name=new["member"])
+        await asyncio.sleep(1.0 + duration)
+        known = [
+            name
+            for name in self.fleet.members
+            if name not in self.checker.leaving_since
+        ]
         name = self.rng.choice([item for item in known if item != new["member"]])
-        self.book.leaving[name] = time.monotonic()
-        await self.standins.do("leave", name=name)
+        self.checker.leaving_since[name] = time.monotonic()
+        await self.standins.run_command("leave", name=name)
         await asyncio.sleep(9.0)
-        await self.standins.do("gone", name=name)
+        await self.standins.run_command("gone", name=name)
         del self.fleet.members[name]
 
-    # Wires
+    # Network
 
-    async def wires(self, wires, lasts, **faults):
-        """Wires are not well for a while."""
-        owners = [
+    async def proxy_fault(self, proxies, duration, **faults):
+        """Set faults of some proxies, and end them afterwards."""
+        affected = [
             daemon
             for daemon in self.fleet.daemons.values()
-            if any(wire in daemon.wires() for wire in wires)
+            if any(proxy in daemon.proxies() for proxy in proxies)
         ]
-        self.trouble(owners, lasts)
-        for wire in wires:
+        self.mark_affected(affected, duration)
+        for proxy in proxies:
             for name, value in faults.items():
-                setattr(wire.faults, name, value)
+                setattr(proxy.faults, name, value)
             if faults.get("refuse"):
-                wire.reset()
-        await asyncio.sleep(lasts)
-        for wire in wires:
+                proxy.reset()
+        await asyncio.sleep(duration)
+        for proxy in proxies:
             for name, value in faults.items():
-                setattr(wire.faults, name, type(value)())
+                setattr(proxy.faults, name, type(value)())
 
-    def paths(self):
-        """Some daemons' wires to a member."""
+    def upstream_proxies(self):
+        """Return some daemons' proxies to a random member."""
         name = self.any_member()
-        return [daemon.upstreams[name] for daemon in self.some()]
-
-    async def path_silent(self, lasts):
-        """Open connections to a member go silent for good, new ones work."""
-        for wire in self.paths():
-            wire.silence(0.7, self.rng)
-
-    async def path_one_way(self, lasts):
-        """Bytes go one way only between some daemons and a member."""
-        way = self.rng.choice(("there", "back"))
-        await self.wires(self.paths(), lasts, cut_way=way)
-
-    async def path_reset(self, lasts):
-        """Connections to a member are reset."""
-        for wire in self.paths():
-            wire.reset(0.7, self.rng)
-
-    async def path_delay(self, lasts):
-        """A member is far away for some daemons."""
-        await self.wires(self.paths(), lasts, delay=DELAY)
-
-    async def path_drop(self, lasts):
-        """Connections end in the middle of answers."""
-        await self.wires(self.paths(), lasts, drop_after=self.rng.randint(50, 5000))
-
-    def links(self):
-        """Some daemons' links."""
-        return [daemon.link for daemon in self.some()]
-
-    async def links_silent(self, lasts):
-        """Links go silent for good, new ones work."""
-        for wire in self.links():
-            wire.silence()
-
-    async def links_delay(self, lasts):
-        """Links are slow."""
-        await self.wires(self.links(), lasts, delay=DELAY)
-
-    async def links_reset(self, lasts):
-        """Links are reset."""
-        for wire in self.links():
-            wire.reset()
-
-    async def links_one_way(self, lasts):
-        """Bytes go one way only over links."""
-        way = self.rng.choice(("there", "back"))
-        await self.wires(self.links(), lasts, cut_way=way)
+        return [daemon.upstream_proxies[name] for daemon in self.some_daemons()]
+
+    async def path_silent(self, duration):
+        """Silence most open connections to a member permanently; new ones work."""
+        for proxy in self.upstream_proxies():
+            proxy.silence(0.7, self.rng)
+
+    async def path_one_way(self, duration):
+        """Block one direction between some daemons and a member."""
+        direction = self.rng.choice(("to_target", "to_client"))
+        await self.proxy_fault(
+            self.upstream_proxies(), duration, blocked_direction=direction
+        )
+
+    async def path_reset(self, duration):
+        """Reset most connections to a member."""
+        for proxy in self.upstream_proxies():
+            proxy.reset(0.7, self.rng)
+
+    async def path_delay(self, duration):
+        """Add latency between some daemons and a member."""
+        await self.proxy_fault(self.upstream_proxies(), duration, delay=NETWORK_DELAY)
+
+    async def path_drop(self, duration):
+        """Reset connections in the middle of answers."""
+        await self.proxy_fault(
+            self.upstream_proxies(),
+            duration,
+            reset_after_bytes=self.rng.randint(50, 5000),
+        )
+
+    def link_proxies(self):
+        """Return some daemons' link proxies."""
+        return [daemon.link_proxy for daemon in self.some_daemons()]
+
+    async def links_silent(self, duration):
+        """Silence open links permanently; new ones work."""
+        for proxy in self.link_proxies():
+            proxy.silence()
+
+    async def links_delay(self, duration):
+        """Add latency to links."""
+        await self.proxy_fault(self.link_proxies(), duration, delay=NETWORK_DELAY)
+
+    async def links_reset(self, duration):
+        """Reset links."""
+        for proxy in self.link_proxies():
+            proxy.reset()
+
+    async def links_one_way(self, duration):
+        """Block one direction of links."""
+        direction = self.rng.choice(("to_target", "to_client"))
+        await self.proxy_fault(
+            self.link_proxies(), duration, blocked_direction=direction
+        )
 
     # Configurations
 
-    async def configure(self, lasts):
-        """One change: a route more, and perhaps one less."""
+    async def configure(self, duration):
+        """Make one change: add a route, and possibly remove one."""
         await self.configs.change()
 
-    async def configure_large(self, lasts):
-        """Very many routes more, and one of them that is asked for."""
-        await self.configs.change(bulk=LARGE)
+    async def configure_large(self, duration):
+        """Make a large change: add one probed route and very many unused ones."""
+        await self.configs.change(bulk=BULK_ROUTES)
 
-    async def configure_storm(self, lasts):
-        """Changes in quick succession."""
+    async def configure_storm(self, duration):
+        """Make changes in quick succession."""
         for _ in range(6):
-            await self.configs.change(bulk=self.rng.choice((0, LARGE)))
+            await self.configs.change(bulk=self.rng.choice((0, BULK_ROUTES)))
             await asyncio.sleep(0.1)
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: start, load, troubles, calm, checks at the end."""
+"""One soak run: starts the processes, runs load and faults, checks the end state."""
 
 import asyncio
 import signal
@@ -8,39 +8,44 @@
 from random import Random
 
 from soak.callers import Caller
-from soak.checker import Book, Stats
-from soak.configchanges import Configs
-from soak.faults import Troubles
+from soak.checker import AnswerStats, StatementChecker
+from soak.configchanges import ConfigChanges
+from soak.faults import FaultInjector
 from soak.fleet import Fleet, StandInProcess, connect
-from soak.schedule import PLANNED, RETURNS, WEIGHTS, draw
+from soak.schedule import (
+    FAULT_WEIGHTS,
+    PLANNED_WEIGHTS,
+    STORE_RETURN_WEIGHTS,
+    draw_schedule,
+)
 from tests.standins.platformworld import CONNECTIONS, says_ready
 
-# Callers for each daemon: more than its connections to a member.
-CALLERS_EACH = 3
-# Daemons start within seconds; many at once on a busy machine take longer, seconds.
-START_LIMIT = 120.0
-# Callers go on for this long after the last trouble is mended, seconds: takeovers that
-# are left unfinished, paused replicas and removed entries take that to settle.
-CALM = 15.0
-# After that each daemon serves within this, seconds.
-RECOVER_LIMIT = 30.0
+# More than a daemon's connections to a member.
+CALLERS_PER_DAEMON = 3
+# Seconds; daemons start within a few, but many at once on a busy machine take longer.
+START_TIMEOUT = 120.0
+# Seconds for which callers go on after the last fault: unfinished takeovers, paused
+# replicas and removed entries take that long to be resolved.
+SETTLE_TIME = 15.0
+# Seconds after that within which each daemon has to accept a write.
+RECOVERY_TIMEOUT = 30.0
 
 
 @dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What a run found."""
+    """The result of a run: findings are in `broken` and `exits`."""
 
     seed: int
     steps: list
     broken: list[str]
-    stats: Stats
+    stats: AnswerStats
     statements: int
     probes: int
     seconds: float
     exits: list[str] = field(default_factory=list)
 
     def lines(self):
-        """The run as lines of text."""
+        """Yield a report of the run as lines of text."""
         yield f"seed {self.seed}: {len(self.steps)} troubles in {self.seconds:.0f} s"
         yield from self.stats.lines()
         yield f"statements run {self.statements}, routes asked for {self.probes}"
@@ -49,11 +54,11 @@
         yield f"findings: {len(self.broken) + len(self.exits)}"
 
 
-def kinds_of(*, planned, returns):
-    """The troubles that are drawn."""
+def weights_for(*, planned, returns):
+    """Return the faults to draw from, with their weights."""
     if planned:
-        return PLANNED
-    return RETURNS if returns else WEIGHTS
+        return PLANNED_WEIGHTS
+    return STORE_RETURN_WEIGHTS if returns else FAULT_WEIGHTS
 
 
 async def soak(
@@ -66,70 +71,72 @@
     planned=False,
     returns=False,
 ):
-    """Play one seed; returns its outcome. Logs and settings stay in the folder.
+    """Run one seed and return its outcome. Logs and settings stay in the folder.
 
-    `connections` is what an upstream takes: with few some daemons own the group, and
-    the others send them statements. `planned` draws planned work alone, `returns` also
-    a store that returns from older copies.
+    `connections` is the connection limit of an upstream: if it is low, some daemons own
+    the group and the others send them their statements. `planned` draws only planned
+    work, `returns` also restores the store from older copies.
     """
     folder = Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
-    steps = draw(seed, seconds, kinds_of(planned=planned, returns=returns))
-    book, stats = Book(), Stats()
+    steps = draw_schedule(seed, seconds, weights_for(planned=planned, returns=returns))
+    checker, stats = StatementChecker(), AnswerStats()
     (folder / "schedule.txt").write_text("\n".join(map(str, steps)) + "\n")
-    standins = StandInProcess(heard=book.heard, connections=connections)
+    standins = StandInProcess(on_event=checker.handle_event, connections=connections)
     fleet = Fleet(folder=folder, standins=standins)
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
         await fleet.start(daemons, await standins.start())
         if returns:
-            await standins.do("keep_copies")
-        await until_ready(fleet)
+            await standins.run_command("keep_copies")
+        await wait_until_ready(fleet)
         rng = Random(f"{seed}:configs")
-        configs = Configs(fleet=fleet, standins=standins, book=book, rng=rng)
-        await play(seed, steps, seconds, fleet, standins, book, stats, configs)
-        await check_end(fleet, standins, book)
+        configs = ConfigChanges(
+            fleet=fleet, standins=standins, checker=checker, rng=rng
+        )
+        await run_load(seed, steps, seconds, fleet, standins, checker, stats, configs)
+        await check_recovery(fleet, standins, checker)
     finally:
         await fleet.close()
         await standins.stop()
     return Outcome(
         seed=seed,
         steps=steps,
-        broken=book.broken,
+        broken=checker.broken,
         stats=stats,
-        statements=book.ran_count,
+        statements=checker.statement_count,
         probes=configs.probes,
-        seconds=time.monotonic() - began,
-        exits=list(own_ends(fleet)),
+        seconds=time.monotonic() - started_at,
+        exits=list(unexpected_exits(fleet)),
     )
 
 
-async def until_ready(fleet):
-    """Wait until all daemons take callers."""
-    async with asyncio.timeout(START_LIMIT):
+async def wait_until_ready(fleet):
+    """Wait until all daemons accept callers."""
+    async with asyncio.timeout(START_TIMEOUT):
         for daemon in fleet.daemons.values():
-            while not await says_ready(daemon.probes):
+            while not await says_ready(daemon.probe_port):
                 await asyncio.sleep(0.1)
 
 
-async def play(seed, steps, seconds, fleet, standins, book, stats, configs):
-    """Callers, probes and troubles; then all is well, and callers go on."""
-    until = time.monotonic() + seconds + CALM
-    book.calm_since = time.monotonic()
+async def run_load(seed, steps, seconds, fleet, standins, checker, stats, configs):
+    """Run callers, probes and faults; callers and probes go on while faults settle."""
+    until = time.monotonic() + seconds + SETTLE_TIME
+    checker.fault_free_since = time.monotonic()
     callers = [
         Caller(
             number=number,
             fleet=fleet,
-            book=book,
+            checker=checker,
             rng=Random(f"{seed}:{number}"),
             stats=stats,
         )
-        for number in range(CALLERS_EACH * len(fleet.daemons))
+        for number in range(CALLERS_PER_DAEMON * len(fleet.daemons))
     ]
-    troubles = Troubles(
+    injector = FaultInjector(
         fleet=fleet,
         standins=standins,
-        book=book,
+        checker=checker,
         rng=Random(f"{seed}:troubles"),
         configs=configs,
     )
@@ -137,37 +144,37 @@
         for caller in callers:
             group.create_task(caller.run(until))
         group.create_task(configs.run(until))
-        group.create_task(carry_out(steps, troubles))
+        group.create_task(run_schedule(steps, injector))
 
 
-async def carry_out(steps, troubles):
-    """Each step at its time, beside those before it."""
-    began = time.monotonic()
+async def run_schedule(steps, injector):
+    """Start each step at its time, concurrently with earlier ones."""
+    started_at = time.monotonic()
     async with asyncio.TaskGroup() as group:
         for step in steps:
-            await asyncio.sleep(max(0.0, began + step.at - time.monotonic()))
-            group.create_task(troubles.play(step))
+            await asyncio.sleep(max(0.0, started_at + step.at - time.monotonic()))
+            group.create_task(injector.run_step(step))
 
 
-async def check_end(fleet, standins, book):
-    """Every daemon serves again, and the last log holds what was promised."""
+async def check_recovery(fleet, standins, checker):
+    """Check that every daemon accepts writes again, and the data in the last log."""
     for daemon in fleet.daemons.values():
-        if not await serves(daemon, book):
-            book.broken.append(f"RECOVER {daemon.name}")
-    report = await standins.do("report")
+        if not await accepts_writes(daemon, checker):
+            checker.broken.append(f"RECOVER {daemon.name}")
+    report = await standins.run_command("report")
     orders = [(token, holder) for token, holder in report["orders"]]
-    book.finish(report["kept"], orders)
+    checker.finish(report["kept"], orders)
 
 
-async def serves(daemon, book):
-    """Tell whether a daemon takes a write before long."""
-    until, turn = time.monotonic() + RECOVER_LIMIT, 0
+async def accepts_writes(daemon, checker):
+    """Return whether a daemon accepts a write within RECOVERY_TIMEOUT."""
+    until, turn = time.monotonic() + RECOVERY_TIMEOUT, 0
     while time.monotonic() < until:
         turn += 1
         try:
             client = await connect(daemon, "own", f"last{daemon.name}t{turn}")
             request = client.next_request
-            book.sent.add(request)
+            checker.sent.add(request)
             _, end = await client.query(f"WRITE {request} {request}")
             client.close()
         except OSError:
@@ -178,12 +185,12 @@
     return False
 
 
-def own_ends(fleet):
-    """Processes that ended by themselves, or not in order when they were told to."""
+def unexpected_exits(fleet):
+    """Yield findings on processes that ended unasked or with an error code."""
     for daemon in fleet.daemons.values():
         code = daemon.process.returncode
-        if not daemon.ended_by_us and code is not None:
+        if not daemon.stopped_by_soak and code is not None:
             yield f"EXIT {daemon.name} ended by itself with {code}"
-        for ended in daemon.exits:
+        for ended in daemon.exit_codes:
             if ended not in (0, -signal.SIGKILL):
                 yield f"EXIT {daemon.name} ended with {ended} when it was told to"
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,14 +1,14 @@
-"""What happens in a soak, and when, drawn from its seed: troubles that overlap.
+"""Draws the schedule of a soak run from its seed: faults that may overlap.
 
-A trouble is the name of a method of `soak.faults.Troubles`, with the time for which
-it lasts.
+A fault ("trouble" in the schedule that is written out) is the name of a method of
+`soak.faults.FaultInjector`, which gets its duration.
 """
 
 from dataclasses import dataclass
 from random import Random
 
-# Troubles and how often they come, relative to each other.
-WEIGHTS = {
+# Faults and their relative frequencies.
+FAULT_WEIGHTS = {
     "kill": 3,
     "drain": 3,
     "pause": 3,
@@ -43,40 +43,43 @@
     "configure_large": 2,
     "configure_storm": 1,
 }
-# Planned work alone, none of which may end a transaction before its time.
-PLANNED = {"drain": 3, "drain_some": 3, "roll": 2, "hup": 1, "configure": 2}
-# All troubles, and a store that returns from older copies.
-RETURNS = {**WEIGHTS, "store_return": 15}
-# Pauses between troubles, seconds: often shorter than they last.
-PAUSES = (0.05, 0.3, 0.8, 1.5, 3.0)
-LASTS = (0.3, 1.0, 2.5, 5.0)
-# Troubles of one kind in a row.
-SERIES = (1, 1, 1, 2, 4)
-# The first comes once callers are at work, seconds.
-FIRST = 1.0
-# A change of the configuration comes before all troubles and one with the last, so that
-# there is something to ask for.
-CHANGE = "configure"
+# Only planned work; none of it may end a transaction early.
+PLANNED_WEIGHTS = {"drain": 3, "drain_some": 3, "roll": 2, "hup": 1, "configure": 2}
+# All faults, and a store that is restored from older copies.
+STORE_RETURN_WEIGHTS = {**FAULT_WEIGHTS, "store_return": 15}
+# Seconds between the starts of faults; often shorter than the faults, so they overlap.
+INTERVALS = (0.05, 0.3, 0.8, 1.5, 3.0)
+DURATIONS = (0.3, 1.0, 2.5, 5.0)
+# Number of faults of one kind in a row.
+REPEATS = (1, 1, 1, 2, 4)
+# Seconds until the first fault, so that callers run by then.
+FIRST_FAULT_AT = 1.0
+# The configuration changes once before all faults and once at the end, so that there is
+# always a change to check.
+CONFIG_CHANGE = "configure"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """One trouble: when it begins, its name, how long it lasts; seconds."""
+    """One fault: when it starts, its name and its duration; times in seconds.
+
+    The fields are written to schedule.txt under these names.
+    """
 
     at: float
     trouble: str
     lasts: float
 
 
-def draw(seed, seconds, kinds=WEIGHTS):
-    """The steps of a run; `kinds` are troubles and how often they come."""
-    rng, at = Random(seed), FIRST
-    steps = [Step(at=FIRST / 2, trouble=CHANGE, lasts=0.0)]
-    names, weights = list(kinds), list(kinds.values())
+def draw_schedule(seed, seconds, fault_weights=FAULT_WEIGHTS):
+    """Return the steps of a run; `fault_weights` has the frequency of each fault."""
+    rng, at = Random(seed), FIRST_FAULT_AT
+    steps = [Step(at=FIRST_FAULT_AT / 2, trouble=CONFIG_CHANGE, lasts=0.0)]
+    names, weights = list(fault_weights), list(fault_weights.values())
     while at < seconds:
         name = rng.choices(names, weights)[0]
-        for _ in range(rng.choice(SERIES)):
-            steps.append(Step(at=at, trouble=name, lasts=rng.choice(LASTS)))
-            at += rng.choice(PAUSES)
+        for _ in range(rng.choice(REPEATS)):
+            steps.append(Step(at=at, trouble=name, lasts=rng.choice(DURATIONS)))
+            at += rng.choice(INTERVALS)
     steps = [step for step in steps if step.at < seconds]
-    return [*steps, Step(at=seconds, trouble=CHANGE, lasts=0.0)]
+    return [*steps, Step(at=seconds, trouble=CONFIG_CHANGE, lasts=0.0)]
--- a/soak/standins.py
+++ b/soak/standins.py
@@ -1,8 +1,8 @@
-"""The store and one group of upstreams as a process of their own.
+"""Runs stand-ins of the store and one group of upstreams in a separate process.
 
-Commands come as JSON lines on standard input, answers and what the upstreams ran go out
-as JSON lines on standard output. Times are those of the system's monotonic clock, which
-all processes of a machine share.
+Reads commands as JSON lines from standard input, and writes results and events of the
+upstreams as JSON lines to standard output. Times are of the system's monotonic clock,
+which all processes of a machine share.
 """
 
 import asyncio
@@ -19,34 +19,37 @@
 from tests.standins.platformworld import GROUP, World, configuration, route
 from tests.standins.wireupstream import listen
 
-# Data that a read lacked: more than callers write while a replica lags.
-MOST_LACKING = 2000
-BUSY = 503
-# A copy of the store is kept this often, seconds, and so many of them.
-COPY_EVERY = 0.5
-MOST_COPIES = 80
-# Operator and upstreams write again what the store lost within this, seconds.
-WRITTEN_AGAIN = 0.5
+# Maximum number of missing writes reported for a read; more than callers write while a
+# replica lags.
+MAX_MISSING = 2000
+HTTP_UNAVAILABLE = 503
+# Seconds between copies of the store, and how many copies are kept.
+COPY_INTERVAL = 0.5
+MAX_COPIES = 80
+# Seconds after which operator and upstreams rewrite what the store lost.
+REWRITE_DELAY = 0.5
 
 
-def tell(**fields):
-    """Write one line."""
+def emit(**fields):
+    """Write a JSON line with the current time as `at`."""
     sys.stdout.write(json.dumps({"at": time.monotonic(), **fields}) + "\n")
     sys.stdout.flush()
 
 
 class Observer:
-    """Tells what the upstreams run."""
+    """Reports the statements that the upstreams run."""
 
     def __init__(self, *, group):
         self.group = group
-        self.numbers = {}
+        self.connection_numbers = {}
         self.counter = count()
 
     def statement_ran(self, conn, request):
-        """An upstream ran a caller's statement."""
-        number = self.numbers.setdefault(conn.transaction, next(self.counter))
-        tell(
+        """Report a caller's statement that an upstream ran."""
+        number = self.connection_numbers.setdefault(
+            conn.transaction, next(self.counter)
+        )
+        emit(
             event="ran",
             request=request,
             member=conn.member.id,
@@ -57,11 +60,16 @@
         )
 
     def read_ran(self, member, request):
-        """An upstream ran a read: what of the leader's log did its own lack?"""
-        tell(event="read", request=request, member=member.id, lacks=self.lacks(member))
+        """Report a read, with the leader's data that the upstream lacked."""
+        emit(
+            event="read",
+            request=request,
+            member=member.id,
+            lacks=self.missing_data(member),
+        )
 
-    def lacks(self, member):
-        """Data that the leader has and a member does not show, the newest first."""
+    def missing_data(self, member):
+        """Return the leader's newest data that a member lacks, oldest first."""
         if self.group.leader is None:
             return []
         log, shown = self.group.leader.log, member.log[: member.applied]
@@ -72,11 +80,14 @@
         else:
             missing = log[at:]
         data = [text for entry in missing for _, text in entry.writes]
-        return data[-MOST_LACKING:]
+        return data[-MAX_MISSING:]
 
 
 class StandIns:
-    """The world of the process tests without its daemons, moved by commands."""
+    """The stand-ins of the process tests, controlled by commands.
+
+    The commands are the methods in the section below, called by name.
+    """
 
     def __init__(self, *, connections):
         self.world = World(folder=".", connections=connections, tenants=tenants())
@@ -86,20 +97,20 @@
         self.added = []
         self.keys = []
         self.spec = None
-        self.copies = deque(maxlen=MOST_COPIES)
+        self.copies = deque(maxlen=MAX_COPIES)
         self.world.store.era = 1
 
     async def start(self):
-        """Serve; tells where."""
+        """Start serving and report the addresses."""
         await self.world.start(daemons=0)
-        tell(event="ready", store=self.world.address, members=self.world.addresses)
+        emit(event="ready", store=self.world.address, members=self.world.addresses)
 
     # Commands
 
     def store(self, **faults):
-        """What is wrong with the store; what is left out is well."""
+        """Set the faults of the store; those left out are ended."""
         store = self.world.store
-        store.refuse = BUSY if faults.get("busy") else 0
+        store.refuse = HTTP_UNAVAILABLE if faults.get("busy") else 0
         store.silent = bool(faults.get("silent"))
         store.slow = faults.get("slow", 0.0)
         store.lose = faults.get("lose", 0)
@@ -107,20 +118,20 @@
             store.forget_history()
 
     def keep_copies(self):
-        """Keep a copy of the store now and then, from now on."""
+        """Keep a copy of the store every COPY_INTERVAL from now on."""
         self.copies.append((time.monotonic(), self.world.store.copy()))
-        self.later(COPY_EVERY, self.keep_copies)
+        self.call_later(COPY_INTERVAL, self.keep_copies)
 
     def store_return(self, age):
-        """The store returns from a copy that is so old, or from the oldest."""
+        """Restore the store from a copy `age` seconds old, or from the oldest one."""
         until = time.monotonic() - age
         while len(self.copies) > 1 and self.copies[-1][0] > until:
             self.copies.pop()
         self.world.store.return_from(self.copies[-1][1])
-        self.later(WRITTEN_AGAIN, self.write_again)
+        self.call_later(REWRITE_DELAY, self.rewrite_entries)
 
-    def write_again(self):
-        """The operator and the upstreams write what is true now."""
+    def rewrite_entries(self):
+        """Write the current configuration and members, as their writers would."""
         store = self.world.store
         if self.spec is not None:
             store.put(CONFIG_KIND, CONFIG_NAME, self.spec)
@@ -131,12 +142,12 @@
             self.world.list_member(member)
 
     def member(self, name, what, value=True):
-        """Set a fault of a member, or end it."""
+        """Set or end a fault of a member: a crash, a cut, or an attribute."""
         member = self.group[name]
         match what:
             case "crash":
                 member.crash()
-                self.later(1.0, self.world.store.remove, UPSTREAM_KIND, name)
+                self.call_later(1.0, self.world.store.remove, UPSTREAM_KIND, name)
             case "restart":
                 member.restart()
                 self.world.list_member(member)
@@ -147,11 +158,11 @@
                 setattr(member, what, value)
 
     def leader(self):
-        """Who leads."""
+        """Return the leader's name, or an empty string."""
         return self.group.leader.id if self.group.leader else ""
 
     async def join(self):
-        """A new member comes; it is listed once its address is known to all."""
+        """Add a member, which is listed once all daemons have a proxy to it."""
         member = FakeMember(id=f"u{len(self.group.members) + 1}", group=self.group)
         self.group.members.append(member)
         server, address = await listen(member)
@@ -160,16 +171,16 @@
         return {"member": member.id, "address": address}
 
     def list(self, name):
-        """List a member."""
+        """Write a member's entry."""
         self.world.list_member(self.group[name])
 
     def leave(self, name):
-        """A member says that it leaves."""
+        """List a member as leaving."""
         self.group[name].leaving = True
         self.list(name)
 
     def gone(self, name):
-        """A member that said so is gone."""
+        """Stop and remove a member that is leaving."""
         member = self.group[name]
         member.crash()
         self.world.servers[name].close()
@@ -179,13 +190,13 @@
             self.group.departed.append(member)
 
     def strange(self, name):
-        """Another writer leaves an entry that names no upstream."""
+        """Write a malformed entry, as another writer could."""
         self.world.store.put(UPSTREAM_KIND, name, {"service": GROUP, "state": 3})
 
     def configure(self, add=(), drop=(), bulk=0, keys=None):
-        """A new version: routes more, routes less, and many that nobody asks for.
+        """Write a new version with routes added and removed, and `bulk` unused ones.
 
-        `keys` are the spare ones of a workspace, as before if it is None.
+        `keys` are the spare keys of a workspace; None leaves them as they are.
         """
         self.version += 1
         self.added = [name for name in (*self.added, *add) if name not in drop]
@@ -198,19 +209,19 @@
         return {"version": self.version}
 
     def report(self):
-        """The last log and the orders to promote."""
+        """Return the data of the last log and the promotion orders."""
         leader = self.group.leader or max(
             self.group.members, key=lambda item: len(item.log)
         )
         kept = [data for entry in leader.log for _, data in entry.writes]
         return {"kept": kept, "orders": self.world.store.orders}
 
-    def later(self, seconds, call, *args):
-        """Do something later."""
+    def call_later(self, seconds, call, *args):
+        """Call a function after some seconds."""
         asyncio.get_running_loop().call_later(seconds, call, *args)
 
     async def run(self):
-        """Carry out commands until standard input ends."""
+        """Run commands until standard input ends."""
         reader = asyncio.StreamReader(limit=1 << 20)
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(
@@ -222,11 +233,11 @@
             result = getattr(self, name)(**command)
             if asyncio.iscoroutine(result):
                 result = await result
-            tell(event="done", number=number, result=result)
+            emit(event="done", number=number, result=result)
 
 
 async def main():
-    """Serve until standard input ends."""
+    """Run the stand-ins until standard input ends."""
     standins = StandIns(connections=int(sys.argv[1]))
     await standins.start()
     await standins.run()
--- a/soak/tcpproxy.py
+++ b/soak/tcpproxy.py
@@ -1,137 +1,141 @@
-"""A loopback proxy between two ends, and what a network does to connections."""
+"""A loopback TCP proxy that simulates network faults."""
 
 import asyncio
 import socket
 import struct
 from dataclasses import dataclass, field
 
-CHUNK = 64 << 10
-# Linger for no time: closing resets the connection instead of ending it in order.
-AT_ONCE = struct.pack("ii", 1, 0)
+CHUNK_BYTES = 64 << 10
+# With a linger time of zero, close resets the connection instead of shutting it down.
+ZERO_LINGER = struct.pack("ii", 1, 0)
 
 
 @dataclass(slots=True, kw_only=True)
-class Faults:
-    """What a wire does to its connections; all off is a good one.
-
-    `delay` holds each chunk back for some seconds, `silent` keeps all bytes of both
-    ways, `cut_way` those of one ("there" or "back"), `refuse` closes new connections,
-    `drop_after` closes a connection after so many bytes. Silenced connections stay
-    silent when the fault is over, as where something between has forgotten them.
+class ProxyFaults:
+    """The faults of a proxy; by default there are none.
+
+    `delay` delays each chunk by some seconds, `silent` discards all bytes of both
+    directions, `blocked_direction` those of one ("to_target" or "to_client"), `refuse`
+    aborts new connections, `reset_after_bytes` resets a connection after so many bytes.
+    Silenced connections stay silent when the fault is over, like those of which a
+    firewall or NAT has lost its state.
     """
 
     delay: float = 0.0
     silent: bool = False
-    cut_way: str = ""
+    blocked_direction: str = ""
     refuse: bool = False
-    drop_after: int = 0
+    reset_after_bytes: int = 0
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Passage:
-    """One connection through a wire."""
+class ProxiedConnection:
+    """A client's connection and the one to the target."""
 
-    near: asyncio.StreamWriter
-    far: asyncio.StreamWriter
+    client: asyncio.StreamWriter
+    target: asyncio.StreamWriter
     silenced: bool = False
-    passed: int = 0
+    forwarded_bytes: int = 0
 
     def reset(self):
-        """End it at once, unsent bytes and all."""
-        for writer in (self.near, self.far):
+        """Reset both connections and discard unsent bytes."""
+        for writer in (self.client, self.target):
             if not writer.transport.is_closing():
                 sock = writer.get_extra_info("socket")
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
             writer.transport.abort()
 
 
 @dataclass(slots=True, kw_only=True)
-class Wire:
-    """Forwards connections to a target `host:port`; `rewrite` replaces bytes back.
+class TcpProxy:
+    """Forwards connections to a target `host:port`.
 
-    Texts and what replaces them are of one length, so that lengths told before hold.
+    `rewrite` maps texts in responses to their replacements, which have the same length
+    so that lengths sent earlier, as in headers, stay valid.
     """
 
     target: str
     rewrite: dict[bytes, bytes] = field(default_factory=dict)
-    faults: Faults = field(default_factory=Faults)
+    faults: ProxyFaults = field(default_factory=ProxyFaults)
     address: str = ""
     server: asyncio.Server | None = None
-    passages: set[Passage] = field(default_factory=set)
+    connections: set[ProxiedConnection] = field(default_factory=set)
 
     async def open(self):
-        """Listen on a port of the system's choice; returns the wire."""
+        """Listen on a free port and return the proxy."""
         self.server = await asyncio.start_server(self.accept, "127.0.0.1", 0)
         host, port = self.server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
         return self
 
     def close(self):
-        """Stop, and end all connections."""
+        """Stop listening and reset all connections."""
         self.server.close()
         self.reset()
 
     def reset(self, share=1.0, rng=None):
-        """Reset connections, or a share of them."""
-        for passage in list(self.passages):
+        """Reset all connections, or with `rng` each one with probability `share`."""
+        for connection in list(self.connections):
             if rng is None or rng.random() < share:
-                passage.reset()
+                connection.reset()
 
     def silence(self, share=1.0, rng=None):
-        """Let open connections go silent for good, or a share of them."""
-        for passage in self.passages:
+        """Silence open connections permanently; `share` and `rng` as in reset."""
+        for connection in self.connections:
             if rng is None or rng.random() < share:
-                passage.silenced = True
+                connection.silenced = True
 
     async def accept(self, reader, writer):
-        """One connection, to its end."""
+        """Forward a new connection until it ends."""
         if self.faults.refuse:
             writer.transport.abort()
             return
         host, _, port = self.target.rpartition(":")
         try:
-            far_reader, far = await asyncio.open_connection(host, int(port))
+            target_reader, target = await asyncio.open_connection(host, int(port))
         except OSError:
             writer.transport.abort()
             return
-        passage = Passage(near=writer, far=far)
-        self.passages.add(passage)
+        connection = ProxiedConnection(client=writer, target=target)
+        self.connections.add(connection)
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self.carry(passage, reader, far, "there"))
-                group.create_task(self.carry(passage, far_reader, writer, "back"))
+                group.create_task(self.forward(connection, reader, target, "to_target"))
+                group.create_task(
+                    self.forward(connection, target_reader, writer, "to_client")
+                )
         finally:
-            self.passages.discard(passage)
-            passage.reset()
+            self.connections.discard(connection)
+            connection.reset()
 
-    async def carry(self, passage, reader, writer, way):
-        """Carry bytes one way until an end closes."""
-        kept = b""
+    async def forward(self, connection, reader, writer, direction):
+        """Forward bytes in one direction until an end closes."""
+        held_back = b""
         try:
-            while data := await reader.read(CHUNK):
+            while data := await reader.read(CHUNK_BYTES):
                 if self.faults.delay:
                     await asyncio.sleep(self.faults.delay)
                 if self.faults.silent:
-                    passage.silenced = True
-                if passage.silenced or self.faults.cut_way == way:
+                    connection.silenced = True
+                if connection.silenced or self.faults.blocked_direction == direction:
                     continue
-                passage.passed += len(data)
-                if 0 < self.faults.drop_after < passage.passed:
-                    passage.reset()
+                connection.forwarded_bytes += len(data)
+                if 0 < self.faults.reset_after_bytes < connection.forwarded_bytes:
+                    connection.reset()
                     return
-                if way == "back" and self.rewrite:
-                    data, kept = self.rewritten(kept + data)
+                if direction == "to_client" and self.rewrite:
+                    data, held_back = self.replace_texts(held_back + data)
                 writer.write(data)
                 await writer.drain()
-            if passage.silenced or self.faults.cut_way == way:
+            if connection.silenced or self.faults.blocked_direction == direction:
                 return
-            writer.write(kept)
+            writer.write(held_back)
             writer.write_eof()
         except (OSError, RuntimeError):
-            passage.reset()
+            connection.reset()
 
-    def rewritten(self, data):
-        """Bytes with replacements, and a rest that may be the beginning of a text."""
+    def replace_texts(self, data):
+        """Return (replaced bytes, rest that may be the beginning of a text)."""
         for old, new in self.rewrite.items():
             data = data.replace(old, new)
         longest = max(map(len, self.rewrite))
--- a/soak/workspaces.py
+++ b/soak/workspaces.py
@@ -1,32 +1,35 @@
-"""The workspaces of a soak, their keys, and whose callers show which.
+"""The workspaces of a soak run, their keys, and which callers use which.
 
-Each caller's name says which workspace it belongs to, so that whoever sees a statement
-run can tell in whose name it has to.
+A caller's workspace follows from its name, so that a check can derive from a request
+with which workspace it has to run.
 """
 
 from zlib import crc32
 
-NAMES = ("east", "north", "south")
-# In front of keys that come and go; callers' own ones stay.
-SPARE = "spare"
+WORKSPACES = ("east", "north", "south")
+# Prefix of the keys that are added and withdrawn; the callers' own keys stay.
+SPARE_KEY_PREFIX = "spare"
 
 
 def workspace_of(session):
-    """The workspace of a caller, by the first part of its sessions' names."""
-    return NAMES[crc32(session.partition("t")[0].encode()) % len(NAMES)]
+    """Return a caller's workspace, by the first part of its sessions' names."""
+    return WORKSPACES[crc32(session.partition("t")[0].encode()) % len(WORKSPACES)]
 
 
-def key_of(session):
-    """The key that a session shows."""
+def key_for(session):
+    """Return the key that a session uses."""
     return f"key-{workspace_of(session)}"
 
 
 def tenants(spare=()):
-    """The configuration's part: each workspace's key, and spare ones of the first."""
+    """Return the workspaces' entries of the configuration.
+
+    Each has its own key; the first one also has the spare keys.
+    """
     return [
         {
             "name": name,
-            "apiKeys": [f"key-{name}", *(spare if name == NAMES[0] else ())],
+            "apiKeys": [f"key-{name}", *(spare if name == WORKSPACES[0] else ())],
         }
-        for name in NAMES
+        for name in WORKSPACES
     ]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's own checks: each notices a break, and a short run finds none."""
+"""Tests of the soak's checks, and short runs that must have no findings."""
 
 import asyncio
 import time
@@ -6,24 +6,24 @@
 import pytest
 
 from gypsum_sessions.catalog import ReadRule
-from soak.checker import CALM_FOR, DRAIN_LIMIT, Book
-from soak.configchanges import IN_FORCE, Configs
-from soak.faults import Troubles
+from soak.checker import DRAIN_TIMEOUT, FAULT_FREE_PERIOD, StatementChecker
+from soak.configchanges import CHANGE_TIMEOUT, ConfigChanges
+from soak.faults import FaultInjector
 from soak.run import soak
-from soak.schedule import PLANNED, RETURNS, draw
-from soak.tcpproxy import Wire
-from soak.workspaces import NAMES, workspace_of
+from soak.schedule import PLANNED_WEIGHTS, STORE_RETURN_WEIGHTS, draw_schedule
+from soak.tcpproxy import TcpProxy
+from soak.workspaces import WORKSPACES, workspace_of
 from tests.promises import Acked, SentRead
 from tests.standins.platformworld import World
 
-# CI plays these; `make soak` draws others.
+# Seeds of the CI runs; `make soak` draws random ones.
 SEED = 1
 RETURNS_SEED = 6
 SECONDS = 12.0
 
 
 def ran(request, **changes):
-    """What the stand-ins tell of a statement."""
+    """Return the stand-ins' event of a statement that ran."""
     line = {
         "event": "ran",
         "at": time.monotonic(),
@@ -37,145 +37,145 @@
     return {**line, **changes}
 
 
-def book(*requests):
-    """A book in which some statements were sent."""
-    made = Book()
-    made.sent.update(requests)
-    return made
+def make_checker(*requests):
+    """Return a checker to which some statements are known as sent."""
+    checker = StatementChecker()
+    checker.sent.update(requests)
+    return checker
 
 
-def words(made):
-    """The promises that were found broken."""
-    return [text.split(" ")[0] for text in made.broken]
+def violations(checker):
+    """Return the names of the findings."""
+    return [text.split(" ")[0] for text in checker.broken]
 
 
 def test_what_runs_as_it_was_sent_breaks_nothing():
-    made = book("a-1", "a-2")
-    made.set("a", "x", "1", sent_at=0.0)
-    made.heard(ran("a-1", values={"x": "1"}))
-    made.transactions["a-2"] = "a"
-    made.heard(ran("a-2", values={"x": "1"}, in_transaction=True))
-    made.answered("a-1", "READ item", [""], "COMPLETE", "u1:a-1")
-    assert made.broken == []
+    checker = make_checker("a-1", "a-2")
+    checker.record_set("a", "x", "1", sent_at=0.0)
+    checker.handle_event(ran("a-1", values={"x": "1"}))
+    checker.transactions["a-2"] = "a"
+    checker.handle_event(ran("a-2", values={"x": "1"}, in_transaction=True))
+    checker.check_answer("a-1", "READ item", [""], "COMPLETE", "u1:a-1")
+    assert checker.broken == []
 
 
 def test_statements_that_nobody_sent_are_noticed():
-    made = book()
-    made.heard(ran("a-1"))
-    assert words(made) == ["UNASKED"]
+    checker = make_checker()
+    checker.handle_event(ran("a-1"))
+    assert violations(checker) == ["UNASKED"]
 
 
 def test_values_of_another_time_are_noticed():
-    made = book("a-1", "a-2")
-    made.set("a", "x", "1", sent_at=5.0)
-    made.settings["a"][0] = made.settings["a"][0].__class__(
+    checker = make_checker("a-1", "a-2")
+    checker.record_set("a", "x", "1", sent_at=5.0)
+    checker.session_values["a"][0] = checker.session_values["a"][0].__class__(
         sent_at=5.0, acked_at=6.0, values={"x": "1"}
     )
-    made.heard(ran("a-1", at=4.0))
-    made.heard(ran("a-1", at=5.5))
-    assert made.broken == []
-    made.heard(ran("a-2", at=7.0))
-    assert words(made) == ["PINNED"]
+    checker.handle_event(ran("a-1", at=4.0))
+    checker.handle_event(ran("a-1", at=5.5))
+    assert checker.broken == []
+    checker.handle_event(ran("a-2", at=7.0))
+    assert violations(checker) == ["PINNED"]
 
 
 def test_another_callers_transaction_is_noticed():
-    made = book("a-1", "b-1")
-    made.transactions.update({"a-1": "a", "b-1": "b"})
-    made.heard(ran("a-1", in_transaction=True))
-    made.heard(ran("b-1", in_transaction=True))
-    assert words(made) == ["PINNED"]
+    checker = make_checker("a-1", "b-1")
+    checker.transactions.update({"a-1": "a", "b-1": "b"})
+    checker.handle_event(ran("a-1", in_transaction=True))
+    checker.handle_event(ran("b-1", in_transaction=True))
+    assert violations(checker) == ["PINNED"]
 
 
 def test_stale_reads_are_noticed():
-    made = book("a-2")
-    made.acked.append(Acked(data=("a-1",), at=1.0, session="a"))
-    made.reads["a-2"] = SentRead(at=2.0, session="a", rule=ReadRule.READ_YOUR_WRITES)
-    made.heard({**ran("a-2"), "event": "read", "lacks": ["a-1"]})
-    assert words(made) == ["STALE"]
+    checker = make_checker("a-2")
+    checker.acked.append(Acked(data=("a-1",), at=1.0, session="a"))
+    checker.reads["a-2"] = SentRead(at=2.0, session="a", rule=ReadRule.READ_YOUR_WRITES)
+    checker.handle_event({**ran("a-2"), "event": "read", "lacks": ["a-1"]})
+    assert violations(checker) == ["STALE"]
 
 
 @pytest.mark.parametrize(
     ("rows", "proof"), [([""], "u1:b-7"), ([], "u1:a-1"), (["x", "y"], "u1:a-1")]
 )
 def test_answers_to_others_are_noticed(rows, proof):
-    made = book("a-1")
-    made.answered("a-1", "READ item", rows, "COMPLETE", proof)
-    assert words(made) == ["MIXED"]
+    checker = make_checker("a-1")
+    checker.check_answer("a-1", "READ item", rows, "COMPLETE", proof)
+    assert violations(checker) == ["MIXED"]
 
 
 def test_work_at_an_upstream_that_leaves_is_noticed():
-    made = book("a-1", "a-2")
-    made.leaving["u1"] = 10.0
-    made.heard(ran("a-1", at=10.0 + DRAIN_LIMIT - 0.1))
-    assert made.broken == []
-    made.heard(ran("a-2", at=10.0 + DRAIN_LIMIT + 0.1))
-    assert words(made) == ["DRAIN"]
+    checker = make_checker("a-1", "a-2")
+    checker.leaving_since["u1"] = 10.0
+    checker.handle_event(ran("a-1", at=10.0 + DRAIN_TIMEOUT - 0.1))
+    assert checker.broken == []
+    checker.handle_event(ran("a-2", at=10.0 + DRAIN_TIMEOUT + 0.1))
+    assert violations(checker) == ["DRAIN"]
 
 
 def test_a_cut_by_a_drain_is_noticed_when_all_else_is_calm():
     class Daemon:
-        """One that drains."""
+        """A daemon that drains."""
 
         name = "d0"
 
-    made = book("a-1", "a-2", "a-3")
-    now = made.draining["d0"] = made.calm_since = time.monotonic()
-    made.cut(Daemon(), "a-1", now - 1.0)
-    assert made.broken == []
-    made.calm_since -= CALM_FOR + 1.0
-    made.cut(Daemon(), "a-1", now - 1.0)
-    assert words(made) == ["LOST"]
-    made.cut(Daemon(), "a-2", now)
-    assert words(made) == ["LOST"]
-    made.heard(ran("a-2"))
-    made.heard(ran("a-3"))
-    made.cut(Daemon(), "a-3", now)
-    assert words(made) == ["LOST", "LOST", "LOST"]
+    checker = make_checker("a-1", "a-2", "a-3")
+    now = checker.draining_since["d0"] = checker.fault_free_since = time.monotonic()
+    checker.check_disconnect(Daemon(), "a-1", now - 1.0)
+    assert checker.broken == []
+    checker.fault_free_since -= FAULT_FREE_PERIOD + 1.0
+    checker.check_disconnect(Daemon(), "a-1", now - 1.0)
+    assert violations(checker) == ["LOST"]
+    checker.check_disconnect(Daemon(), "a-2", now)
+    assert violations(checker) == ["LOST"]
+    checker.handle_event(ran("a-2"))
+    checker.handle_event(ran("a-3"))
+    checker.check_disconnect(Daemon(), "a-3", now)
+    assert violations(checker) == ["LOST", "LOST", "LOST"]
 
 
 def test_a_transaction_that_fails_while_all_is_calm_is_noticed():
-    made = book("a-1")
-    made.calm_since = time.monotonic()
-    made.ended("a-1", "ABORTED")
-    assert made.broken == []
-    made.calm_since -= CALM_FOR + 1.0
-    made.ended("a-1", "COMPLETE")
-    assert made.broken == []
-    made.ended("a-1", "ABORTED")
-    assert words(made) == ["ENDED"]
-    made.ended("a-1", "ABORTED", late=True)
-    made.leaving["u1"] = time.monotonic()
-    made.ended("a-1", "ABORTED")
-    assert words(made) == ["ENDED"]
+    checker = make_checker("a-1")
+    checker.fault_free_since = time.monotonic()
+    checker.check_transaction_end("a-1", "ABORTED")
+    assert checker.broken == []
+    checker.fault_free_since -= FAULT_FREE_PERIOD + 1.0
+    checker.check_transaction_end("a-1", "COMPLETE")
+    assert checker.broken == []
+    checker.check_transaction_end("a-1", "ABORTED")
+    assert violations(checker) == ["ENDED"]
+    checker.check_transaction_end("a-1", "ABORTED", late=True)
+    checker.leaving_since["u1"] = time.monotonic()
+    checker.check_transaction_end("a-1", "ABORTED")
+    assert violations(checker) == ["ENDED"]
 
 
 def test_the_end_shows_what_was_lost_doubled_kept_or_promoted_twice():
-    made = book()
-    made.acked.append(Acked(data=("a",), at=1.0, session="s"))
-    made.promised.append("b")
-    made.finish(["b", "c", "c"], [(1, "d0"), (1, "d1")])
-    assert words(made) == ["TWICE", "LOST", "REFUSED", "ONE:"]
+    checker = make_checker()
+    checker.acked.append(Acked(data=("a",), at=1.0, session="s"))
+    checker.promised.append("b")
+    checker.finish(["b", "c", "c"], [(1, "d0"), (1, "d1")])
+    assert violations(checker) == ["TWICE", "LOST", "REFUSED", "ONE:"]
 
 
 def test_a_statement_in_another_workspaces_name_is_noticed():
-    made = book("a-1")
-    other = next(name for name in NAMES if name != workspace_of("a"))
-    made.heard(ran("a-1", workspace=other))
-    assert words(made) == ["UNASKED"]
+    checker = make_checker("a-1")
+    other = next(name for name in WORKSPACES if name != workspace_of("a"))
+    checker.handle_event(ran("a-1", workspace=other))
+    assert violations(checker) == ["UNASKED"]
 
 
 def test_routes_that_are_not_in_force_are_noticed():
-    """A daemon in touch that refuses a route of long ago, or serves a dropped one."""
+    """Guards against a daemon that refuses an old route or serves a removed one."""
 
     class Daemon:
-        """One that serves or refuses every name."""
+        """A daemon that serves or refuses by the name of the route or key."""
 
         name = "d0"
-        troubled_until = 0.0
-        ended_by_us = False
+        affected_until = 0.0
+        stopped_by_soak = False
 
-        def __init__(self, callers):
-            self.callers = callers
+        def __init__(self, caller_port):
+            self.caller_port = caller_port
 
     async def main():
         async def serve(reader, writer):
@@ -187,28 +187,29 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         daemon = Daemon(server.sockets[0].getsockname()[1])
-        made = book()
-        configs = Configs(fleet=None, standins=None, book=made, rng=None)
-        long_ago = time.monotonic() - IN_FORCE - 1.0
-        configs.added["new"] = configs.dropped["gone"] = long_ago
+        checker = make_checker()
+        configs = ConfigChanges(fleet=None, standins=None, checker=checker, rng=None)
+        long_ago = time.monotonic() - CHANGE_TIMEOUT - 1.0
+        configs.added["new"] = configs.removed["gone"] = long_ago
         await configs.probe(daemon)
-        assert words(made) == ["CONFIG", "CONFIG"]
-        configs.added["new"] = configs.dropped["gone"] = time.monotonic()
+        assert violations(checker) == ["CONFIG", "CONFIG"]
+        configs.added["new"] = configs.removed["gone"] = time.monotonic()
         await configs.probe(daemon)
-        assert len(made.broken) == 2
+        assert len(checker.broken) == 2
         configs.keys["fresh"] = configs.withdrawn["gone"] = long_ago
         await configs.probe(daemon)
-        assert words(made) == ["CONFIG"] * 4
+        assert violations(checker) == ["CONFIG"] * 4
         server.close()
 
     asyncio.run(main())
 
 
 def test_a_member_that_leaves_says_so_until_it_is_gone(tmp_path):
-    """Symptom: DRAIN, reads at an upstream that has been leaving for 8 s.
+    """Guards against DRAIN findings caused by the stand-in itself.
 
-    Sequence: the primary says that it leaves, another one is promoted, all entries are
-    written anew. Cause: the stand-in wrote it as ready.
+    When the primary is leaving and another member is promoted, all entries are written
+    anew. If the leaving member were written as ready, reads would run at an upstream
+    that has been leaving for 8 s.
     """
 
     async def main():
@@ -232,30 +233,37 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        wire = Wire(target=f"127.0.0.1:{port}", rewrite={b"10.0.0.1:1": b"10.0.0.2:2"})
-        await wire.open()
-        host, _, port = wire.address.rpartition(":")
+        proxy = TcpProxy(
+            target=f"127.0.0.1:{port}", rewrite={b"10.0.0.1:1": b"10.0.0.2:2"}
+        )
+        await proxy.open()
+        host, _, port = proxy.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"hello\n")
         assert await reader.readline() == b"10.0.0.2:2 hello\n"
-        wire.silence()
+        proxy.silence()
         writer.write(b"again\n")
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.1):
                 await reader.readline()
-        wire.reset()
+        proxy.reset()
         with pytest.raises(ConnectionError):
             await reader.readexactly(1)
-        wire.close()
+        proxy.close()
         server.close()
 
     asyncio.run(main())
 
 
 def test_a_seed_draws_the_same_troubles_and_each_exists():
-    assert draw(7, 60.0) == draw(7, 60.0) != draw(8, 60.0)
-    assert all(hasattr(Troubles, name) for name in {**RETURNS, **PLANNED})
-    assert {step.trouble for step in draw(7, 60.0, PLANNED)} <= set(PLANNED)
+    assert draw_schedule(7, 60.0) == draw_schedule(7, 60.0) != draw_schedule(8, 60.0)
+    assert all(
+        hasattr(FaultInjector, name)
+        for name in {**STORE_RETURN_WEIGHTS, **PLANNED_WEIGHTS}
+    )
+    assert {step.trouble for step in draw_schedule(7, 60.0, PLANNED_WEIGHTS)} <= set(
+        PLANNED_WEIGHTS
+    )
 
 
 @pytest.mark.xdist_group("platform processes")
