--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,8 +1,8 @@
-"""What each mechanism under load and faults is worth: switched off, one by one.
+"""Ablation: the effect of each mechanism under load and faults.
 
-`python -m bench.ablation` replays loads in virtual time with all mechanisms, then with
-each one off, and prints a table for docs/policy.md. A load's figure is the share of its
-operations that were answered with success, or a time; seeds are fixed.
+`python -m bench.ablation` runs loads in virtual time with all mechanisms, then with
+each one disabled, and prints a table for docs/policy.md. A load's figure is the share
+of its operations that succeeded, their rate, or a time; seeds are fixed.
 """
 
 import asyncio
@@ -26,29 +26,29 @@
 NEVER = 1e9
 
 
-def share(told, *, done):
-    """The share of operations that were done."""
-    return sum(map(done, told)) / len(told)
+def share_done(outcomes, *, done):
+    """Return the share of outcomes for which `done` is true."""
+    return sum(map(done, outcomes)) / len(outcomes)
 
 
 # Loads
 
 
 def return_of_all():
-    """Nine daemons come back while upstreams still count their lost connections."""
-    _, told = run(
+    """Restart nine daemons while upstreams still count their lost connections."""
+    _, outcomes = run(
         test_mass_restart.run_power_loss(test_mass_restart.DEFAULT_SESSION_TUNING)
     )
-    return share(told, done=lambda item: item[0] is None)
+    return share_done(outcomes, done=lambda item: item[0] is None)
 
 
 def far_replicas():
-    """Replicas apply 30 s late, callers ask for twice what one upstream runs."""
+    """Let replicas lag by 30 s under twice the load that one upstream can run."""
     return run(test_handover.run_lagging_replicas())[0]
 
 
 def lagging_commits():
-    """Replicas apply 150 ms late; seconds that a commit takes."""
+    """Let replicas lag by 150 ms; return the mean seconds of a commit."""
 
     async def main():
         rig = await test_lagging.make_lagging_rig()
@@ -59,38 +59,44 @@
 
 
 def cut_from_the_primary():
-    """One of three daemons loses the primary for six seconds; its callers' writes."""
+    """Cut one of three daemons from the primary for six seconds.
+
+    Returns the successful writes of its callers per second.
+    """
 
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
-        told, proxy = [], rig.proxies[0]
+        outcomes, proxy = [], rig.proxies[0]
         rig.cut(proxy, "u1")
         rig.loop.call_later(6.0, proxy.context.dialer.dialer.cut.clear)
-        await write_for(rig, proxy, 6.0, told)
-        return len([1 for _, refusal, _ in told if refusal is None]) / 6.0
+        await write_for(rig, proxy, 6.0, outcomes)
+        return len([1 for _, refusal, _ in outcomes if refusal is None]) / 6.0
 
     return run(main())
 
 
 def leaving_primary():
-    """A primary leaves under writes: the longest time without one, seconds."""
+    """Let a primary leave under writes; return the longest gap in seconds."""
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writers = start_writers(rig, 5.0, told)
+        outcomes = []
+        writers = start_writers(rig, 5.0, outcomes)
         await asyncio.sleep(1.0)
         test_handover.list_as_leaving(rig, "u1")
         await asyncio.gather(*writers)
-        return test_handover.longest_gap(told, 0.5)
+        return test_handover.longest_gap(outcomes, 0.5)
 
     return run(main())
 
 
 def rush():
-    """Three times what a group runs for three seconds; answered within the aim."""
+    """Send three times a group's capacity for three seconds.
+
+    Returns the share of reads that were answered within the target latency.
+    """
 
     async def main():
         rig = Rig(daemons=3)
@@ -103,40 +109,43 @@
         while rig.loop.time() < until:
             running.append(asyncio.create_task(timed_read(rig, rng)))
             await asyncio.sleep(rng.expovariate(1300.0))
-        return share(await asyncio.gather(*running), done=bool)
+        return share_done(await asyncio.gather(*running), done=bool)
 
     return run(main())
 
 
 async def timed_read(rig, rng):
-    """One read; tells whether it was answered within the route's target."""
+    """Run a read; return whether it was answered within the route's target latency."""
     caller = rig.caller(rng.choice(["own", "bounded"]), rng.choice(rig.proxies))
-    began = rig.loop.time()
+    started_at = rig.loop.time()
     reply = await caller.send("READ a")
-    return reply.ok and rig.loop.time() - began <= 0.4
+    return reply.ok and rig.loop.time() - started_at <= 0.4
 
 
 def silent_connections():
-    """Open connections go silent, twice; writes that are not in doubt."""
+    """Silence open connections twice; return the share of writes not in doubt."""
 
     async def main():
         rig = Rig(daemons=2)
         await rig.settle()
-        told = []
-        writers = start_writers(rig, 6.0, told)
+        outcomes = []
+        writers = start_writers(rig, 6.0, outcomes)
         for _ in range(2):
             await asyncio.sleep(2.0)
             for member in rig.group.members:
                 for conn in list(member.conns):
                     conn.silent = True
         await asyncio.gather(*writers)
-        return share(told, done=lambda item: item[1] is None)
+        return share_done(outcomes, done=lambda item: item[1] is None)
 
     return run(main())
 
 
 def slow_replica():
-    """One replica takes two seconds a statement: reads within the aim."""
+    """Let one replica take two seconds per statement.
+
+    Returns the share of reads that were answered within the target latency.
+    """
 
     async def main():
         rig = Rig(daemons=1)
@@ -146,7 +155,7 @@
         for _ in range(200):
             running.append(asyncio.create_task(timed_read(rig, rng)))
             await asyncio.sleep(0.02)
-        return share(await asyncio.gather(*running), done=bool)
+        return share_done(await asyncio.gather(*running), done=bool)
 
     return run(main())
 
@@ -166,16 +175,16 @@
 
 
 @contextmanager
-def without(*changes):
-    """Apply patches for a while."""
+def patched(*changes):
+    """Apply patches, (target, name, value) each, within the context."""
     with ExitStack() as stack:
         for target, name, value in changes:
             stack.enter_context(patch.object(target, name, value))
         yield
 
 
-def tuned(**values):
-    """Patches that put another tuning in the place of the default one."""
+def tuning_patches(**values):
+    """Return patches that replace the default tuning."""
     made = SessionTuning(**values)
     defaults = {**rig.Rig.__init__.__kwdefaults__, "tuning": made}
     return [
@@ -184,62 +193,64 @@
     ]
 
 
-async def no_heir(self, old, heir=""):
-    """Nobody is handed over to while the primary serves."""
+async def no_handover(self, old, heir=""):
+    """Find no handover target."""
     return
 
 
-async def untried(group, item, values, timeout):
-    """A connection that was not tried."""
+async def acquire_unverified(group, item, values, timeout):
+    """Acquire a connection without checking that it still works."""
     try:
         return await item.pool.acquire(values=values, timeout=timeout)
     except writes.UpstreamError as exc:
         raise writes.NotSent(str(exc)) from exc
 
 
-def any_limit(slots, owners):
-    """No limit at upstreams."""
+def unlimited(slots, owners):
+    """Return a limit that is never reached."""
     return 10_000
 
 
-def no_hurry(self, request, now):
-    """Nobody is refused for the queue's length."""
+def no_expected_wait(self, request, now):
+    """Return a wait for which no request is refused."""
     return 0.0
 
 
-def all_alike(self, ticket, now):
-    """Who came first is first."""
+def arrival_order(self, ticket, now):
+    """Sort statements by their arrival alone."""
     return ticket
 
 
 SWITCHES = {
-    "change of the lead for the load": lambda: without(
-        (reasons, "should_hand_over", lambda **seen: False)
+    "change of the lead for the load": lambda: patched(
+        (reasons, "should_hand_over", lambda **state: False)
     ),
-    "handover while the primary serves": lambda: without(
-        (ReplicationControl, "prepare_handover", no_heir)
+    "handover while the primary serves": lambda: patched(
+        (ReplicationControl, "prepare_handover", no_handover)
     ),
-    "helpers that reach the primary": lambda: without(
+    "helpers that reach the primary": lambda: patched(
         (PeerReachability, "confirming_daemons", lambda self: [])
     ),
-    "refusal of a daemon that is cut off": lambda: without(
+    "refusal of a daemon that is cut off": lambda: patched(
         (LeaderWatch, "is_partitioned", lambda self: False)
     ),
-    "limit of work at upstreams": lambda: without(
-        (group, "concurrency_limit", any_limit)
+    "limit of work at upstreams": lambda: patched(
+        (group, "concurrency_limit", unlimited)
+    ),
+    "refusal for the queue's length": lambda: patched(
+        (admission.WorkQueue, "expected_wait", no_expected_wait)
     ),
-    "refusal for the queue's length": lambda: without(
-        (admission.WorkQueue, "expected_wait", no_hurry)
+    "order by worth and urgency": lambda: patched(
+        (admission.WorkQueue, "sort_key", arrival_order)
     ),
-    "order by worth and urgency": lambda: without(
-        (admission.WorkQueue, "sort_key", all_alike)
+    "known lag of replicas": lambda: patched(*tuning_patches(lag_weight=0.0)),
+    "slow reads asked elsewhere": lambda: patched(
+        *tuning_patches(hedge_min_delay=NEVER)
     ),
-    "known lag of replicas": lambda: without(*tuned(lag_weight=0.0)),
-    "slow reads asked elsewhere": lambda: without(*tuned(hedge_min_delay=NEVER)),
-    "modest start": lambda: without(*tuned(startup_limit_duration=0.0)),
-    "closing of idle connections": lambda: without(*tuned(idle_timeout=NEVER)),
-    "trial of connections before writes": lambda: without(
-        (writes, "acquire_verified", untried)
+    "modest start": lambda: patched(*tuning_patches(startup_limit_duration=0.0)),
+    "closing of idle connections": lambda: patched(*tuning_patches(idle_timeout=NEVER)),
+    "trial of connections before writes": lambda: patched(
+        (writes, "acquire_verified", acquire_unverified)
     ),
 }
 
@@ -256,7 +267,7 @@
 
 
 def print_row(name, figures):
-    """Print one line of the table."""
+    """Print a row of the table."""
     print(f"| {name} | {' | '.join(f'{item:.3f}' for item in figures)} |", flush=True)
 
 
--- a/bench/bare.py
+++ b/bench/bare.py
@@ -1,4 +1,4 @@
-"""A bare tornado handler, the yardstick of the path's cost: JSON in, JSON out."""
+"""A bare tornado handler, the baseline for the cost of the request path."""
 
 import asyncio
 import json
@@ -7,17 +7,17 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application, RequestHandler
 
-ANSWER = {"outcome": "done", "columns": ["n"], "rows": [[0]], "served_by": "u1"}
+RESPONSE = {"outcome": "done", "columns": ["n"], "rows": [[0]], "served_by": "u1"}
 
 
 class BareHandler(RequestHandler):
-    """Reads a JSON body, writes a JSON answer."""
+    """Parses a JSON body and writes a constant JSON response."""
 
     async def post(self):
-        """Answer at once."""
+        """Respond to a request."""
         json.loads(self.request.body)
         self.set_header("Content-Type", "application/json")
-        self.finish(json.dumps(ANSWER))
+        self.finish(json.dumps(RESPONSE))
 
 
 async def main():
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,9 @@
-"""Works out docs/CAPACITY.md: slopes measured here, figures at letter 1's size.
+"""Computes the figures of docs/CAPACITY.md: measured slopes, scaled to the full size.
 
-Run by `make capacity`. Each slope is a difference between two sizes in one run, so
-that fixed costs cancel out. Figures that a machine's speed moves are marked so.
+Run by `make capacity`. Each slope is a difference between two sizes in one run, so that
+fixed costs cancel out. Processor times depend on the speed of the machine. The
+constants have the size of the full deployment and its required bounds per daemon: core
+share, MB, and KB/s.
 """
 
 import asyncio
@@ -19,7 +21,7 @@
 from tornado.netutil import bind_sockets
 from tornado.web import Application
 
-from bench.logic import Bench, make_list
+from bench.logic import LogicHarness, make_instances
 from bench.path import processor_seconds
 from gypsum_core.events import InstancesListed, ManifestsSeen
 from gypsum_core.messages import Changes, Digest, InstanceChanges, ManifestEntry
@@ -43,19 +45,22 @@
 LIST_CHANGES_A_DAY = 2 * (2900 + 55)
 DAY = 86_400.0
 DOMAINS = 11
-CORE_LIMIT, MEMORY_LIMIT, BYTES_LIMIT = 0.033, 64.0, 8.0
-REFRESHES = 1 / DEFAULT_TUNING.idle_poll_interval
+CORE_BOUND, MEMORY_BOUND_MB, RATE_BOUND_KB = 0.033, 64.0, 8.0
+IDLE_POLLS_PER_S = 1 / DEFAULT_TUNING.idle_poll_interval
 IDLE_SECONDS = 6.0
-LINKS = 150
+LINK_COUNT = 150
 PROBES = 50
-RELAY_END = 0.3
+PROXY_CLOSE_WAIT = 0.3
 FAST_POLL, SLOW_POLL = 0.02, 0.5
-CALLERS = 400
+CALLER_COUNT = 400
 
 
 @dataclass(frozen=True, kw_only=True)
 class Slopes:
-    """What one more of each thing costs."""
+    """The cost of one more of each object, message or event.
+
+    The fields are written to docs/CAPACITY.md under these names.
+    """
 
     database_kb: float
     instance_kb: float
@@ -74,20 +79,20 @@
     list_change_bytes: int
 
 
-def traced(make, count):
-    """Kilobytes that each of `count` things made by a function holds."""
+def traced_kb(make, count):
+    """Return the KB held by each of the `count` objects that a function makes."""
     gc.collect()
     tracemalloc.start()
-    kept = make()
+    held = make()
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del held
     return size / 1024 / count
 
 
 def make_manifests(count):
-    """Manifests in the logic's form, with the body that is passed on."""
+    """Return manifests as the logic holds them, with the body that is relayed."""
     body = json.dumps({"upstreams": ["x" * 120] * 3, "kinds": ["y" * 90] * 8})
     manifests = []
     for number in range(count):
@@ -98,67 +103,69 @@
 
 
 def measure_memory():
-    """Memory slopes of the decision logic."""
-    database = traced(lambda: make_manifests(2000), 2000)
-    instance = traced(lambda: make_list(4000), 4000)
-    bench = Bench(databases=200, daemons=1)
-    home = traced(lambda: [bench_home(bench, name) for name in bench.names], 200)
+    """Return the KB per database, instance and home in the decision logic."""
+    database = traced_kb(lambda: make_manifests(2000), 2000)
+    instance = traced_kb(lambda: make_instances(4000), 4000)
+    harness = LogicHarness(databases=200, daemons=1)
+    home = traced_kb(
+        lambda: [create_home(harness, name) for name in harness.names], 200
+    )
     return database, instance, home
 
 
-def bench_home(bench, name):
-    """A fresh home."""
-    bench.node.homes.pop(name, None)
-    return bench.node.home(name)
+def create_home(harness, name):
+    """Replace a home by a new one and return it."""
+    harness.node.homes.pop(name, None)
+    return harness.node.home(name)
 
 
 def measure_changes():
-    """Milliseconds for a change of the list and of a manifest at full size."""
-    bench = Bench(databases=DATABASES, daemons=DAEMONS)
+    """Return the ms for a change of the list and of a manifest at full size."""
+    harness = LogicHarness(databases=DATABASES, daemons=DAEMONS)
     upstreams = tuple(
         Instance(id=f"u{n}", role=InstanceRole.UPSTREAM, domain=f"fd{n % DOMAINS}")
         for n in range(UPSTREAMS)
     )
-    whole = make_list(DAEMONS) + upstreams
-    bench.step(InstancesListed(instances=whole, revision=10))
-    begin = time.process_time()
+    instances = make_instances(DAEMONS) + upstreams
+    harness.handle(InstancesListed(instances=instances, revision=10))
+    started_at = time.process_time()
     for revision in (11, 12, 13):
-        changed = whole[: revision % 5] + whole[revision % 5 + 1 :]
-        bench.step(InstancesListed(instances=changed, revision=revision))
-    list_ms = (time.process_time() - begin) / 3 * 1000
-    begin = time.process_time()
+        changed = instances[: revision % 5] + instances[revision % 5 + 1 :]
+        harness.handle(InstancesListed(instances=changed, revision=revision))
+    list_ms = (time.process_time() - started_at) / 3 * 1000
+    started_at = time.process_time()
     for version in range(2, 52):
         manifests = (accepted(make_spec("db1", version)),)
-        bench.step(ManifestsSeen(manifests=manifests, source="platform"))
-    manifest_ms = (time.process_time() - begin) / 50 * 1000
+        harness.handle(ManifestsSeen(manifests=manifests, source="platform"))
+    manifest_ms = (time.process_time() - started_at) / 50 * 1000
     return list_ms, manifest_ms
 
 
 def resident_kb():
-    """Resident memory of this process."""
+    """Return the resident memory of this process in KB."""
     fields = Path("/proc/self/statm").read_text().split()
     return int(fields[1]) * resource.getpagesize() / 1024
 
 
-class Sink:
-    """Takes messages and does nothing."""
+class NullReceiver:
+    """Receiver of links that ignores messages."""
 
     def message_arrived(self, peer, message):
-        """Drop it."""
+        """Ignore a message."""
 
     def link_lost(self, peer):
-        """Ignore it."""
+        """Ignore the end of a link."""
 
 
 async def measure_links():
-    """Kilobytes that one link costs one of its ends."""
+    """Return the KB of one link at one of its ends."""
     ends = {}
 
     def make(name):
         ends[name] = Links(
             daemon=name,
             secret="s" * 16,
-            receiver=Sink(),
+            receiver=NullReceiver(),
             address_of=lambda peer: f"127.0.0.1:{port}",
             report=lambda text: None,
         )
@@ -166,51 +173,54 @@
 
     port = await make("hub").listen("127.0.0.1", 0)
     before = resident_kb()
-    for number in range(LINKS):
+    for number in range(LINK_COUNT):
         make(f"d{number}").send("hub", Digest(digest="0" * 16))
     await asyncio.sleep(1.5)
-    grown = resident_kb() - before
+    growth_kb = resident_kb() - before
     for end in ends.values():
         await end.close()
-    return grown / LINKS / 2
+    return growth_kb / LINK_COUNT / 2
 
 
 async def measure_callers():
-    """Kilobytes that one idle caller's connection costs."""
+    """Return the KB of one idle caller's connection."""
     server = HTTPServer(Application([]))
     sockets = bind_sockets(0, "127.0.0.1")
     server.add_sockets(sockets)
     port = sockets[0].getsockname()[1]
     before = resident_kb()
-    streams = [await asyncio.open_connection("127.0.0.1", port) for _ in range(CALLERS)]
+    streams = [
+        await asyncio.open_connection("127.0.0.1", port) for _ in range(CALLER_COUNT)
+    ]
     await asyncio.sleep(0.5)
-    grown = resident_kb() - before
+    growth_kb = resident_kb() - before
     for _, writer in streams:
         writer.close()
     server.stop()
     await server.close_all_connections()
-    # Both ends are in this process; the caller's end is the lighter half.
-    return grown / CALLERS / 2
+    # Both ends are in this process, and the caller's end is the smaller one, so that
+    # half of the sum is below the daemon's share.
+    return growth_kb / CALLER_COUNT / 2
 
 
 async def measure_status_bytes():
-    """Bytes of one status question and answer on an open connection."""
+    """Return the bytes of one status query and its answer on an open connection."""
     with Cluster(daemons=0) as cluster:
-        counted = CountingRelay(cluster.sql_ports["u1"])
-        port = await counted.listen()
+        proxy = CountingProxy(cluster.sql_ports["u1"])
+        port = await proxy.listen()
         conn = await asyncmy.connect(host="127.0.0.1", port=port, user="x")
         await ask_status(conn)
-        before = counted.bytes
+        before = proxy.bytes
         for _ in range(PROBES):
             await ask_status(conn)
-        total = counted.bytes - before
+        total = proxy.bytes - before
         conn.close()
-        await asyncio.sleep(RELAY_END)
+        await asyncio.sleep(PROXY_CLOSE_WAIT)
     return total / PROBES
 
 
-class CountingRelay:
-    """Passes bytes on to an upstream and counts them, both ways."""
+class CountingProxy:
+    """Forwards connections to an upstream and counts the bytes of both directions."""
 
     def __init__(self, target):
         self.target = target
@@ -218,15 +228,17 @@
         self.tasks = []
 
     async def listen(self):
-        """Accept connections; returns the port."""
+        """Listen on a free port and return it."""
         server = await asyncio.start_server(self.relay, "127.0.0.1", 0)
         return server.sockets[0].getsockname()[1]
 
     async def relay(self, reader, writer):
-        """Relay one connection."""
-        there, back = await asyncio.open_connection("127.0.0.1", self.target)
-        self.tasks.append(asyncio.ensure_future(self.copy(reader, back)))
-        await self.copy(there, writer)
+        """Forward one connection."""
+        target_reader, target_writer = await asyncio.open_connection(
+            "127.0.0.1", self.target
+        )
+        self.tasks.append(asyncio.ensure_future(self.copy(reader, target_writer)))
+        await self.copy(target_reader, writer)
 
     async def copy(self, reader, writer):
         """Copy one direction."""
@@ -242,13 +254,13 @@
 
 
 def in_fresh_process(measurement):
-    """Run one in a process whose memory nothing has grown and shrunk before."""
+    """Run a measurement in a new process, whose heap has not been used before."""
     with get_context("spawn").Pool(1) as pool:
         return pool.apply(run_measurement, (measurement,))
 
 
 def measure_processes():
-    """Core share of an idle daemon that is home, and the cost of a probe."""
+    """Return the core share of an idle home without probes, and µs per probe."""
     shares = []
     for poll in FAST_POLL, SLOW_POLL:
         tuning = {"poll_interval": poll, "idle_poll_interval": poll}
@@ -264,7 +276,7 @@
 
 
 def measure_path():
-    """Microseconds a statement costs entry and home."""
+    """Return the µs per statement at the entry and at the home."""
     from bench import path
 
     figures = {figure.name: figure.value for figure in path.measure()}
@@ -272,13 +284,15 @@
 
 
 def measure():
-    """All slopes."""
+    """Measure all slopes."""
     database, instance, home = measure_memory()
     list_ms, manifest_ms = measure_changes()
     idle, probe = measure_processes()
     entry, at_home = measure_path()
-    entry_of = ManifestEntry(database="db1", version=2, body="x" * 1500)
-    change = InstanceChanges(base=1, revision=2, changed=make_list(2), removed=("d17",))
+    manifest_entry = ManifestEntry(database="db1", version=2, body="x" * 1500)
+    change = InstanceChanges(
+        base=1, revision=2, changed=make_instances(2), removed=("d17",)
+    )
     return Slopes(
         database_kb=database,
         instance_kb=instance,
@@ -292,14 +306,14 @@
         entry_us=entry,
         home_us=at_home,
         status_bytes=asyncio.run(measure_status_bytes()),
-        manifest_bytes=len(encode(Changes(entries=(entry_of,)))),
+        manifest_bytes=len(encode(Changes(entries=(manifest_entry,)))),
         digest_bytes=len(encode(Digest(digest="0" * 16, revision=9))),
         list_change_bytes=len(encode(change)),
     )
 
 
 def table(slopes):
-    """The lines between the markers of docs/CAPACITY.md."""
+    """Yield the lines between the markers of docs/CAPACITY.md."""
     homes = DATABASES / DAEMONS
     yield "| slope | measured |"
     yield "|---|---|"
@@ -311,8 +325,8 @@
     total = [0.0, 0.0, 0.0]
     for row in control_rows(slopes, homes):
         name, core, memory, rate, mechanism = row
-        for place, value in enumerate((core, memory, rate)):
-            total[place] += value
+        for index, value in enumerate((core, memory, rate)):
+            total[index] += value
         yield (
             f"| {name} | {core * 100:.2f} % | {memory:.1f} MB | {rate:.2f} KB/s "
             f"| {mechanism} |"
@@ -323,22 +337,22 @@
         "KB/s** | |"
     )
     yield (
-        f"| letter's bound | {CORE_LIMIT * 100:.1f} % | {MEMORY_LIMIT:.0f} MB "
-        f"| {BYTES_LIMIT:.0f} KB/s | |"
+        f"| letter's bound | {CORE_BOUND * 100:.1f} % | {MEMORY_BOUND_MB:.0f} MB "
+        f"| {RATE_BOUND_KB:.0f} KB/s | |"
     )
     yield (
-        f"| sum against bound | {core / CORE_LIMIT:.2f} | {memory / MEMORY_LIMIT:.2f} "
-        f"| {rate / BYTES_LIMIT:.2f} | |"
+        f"| sum against bound | {core / CORE_BOUND:.2f} "
+        f"| {memory / MEMORY_BOUND_MB:.2f} | {rate / RATE_BOUND_KB:.2f} | |"
     )
     yield ""
     yield from traffic_lines(slopes)
 
 
 def control_rows(slopes, homes):
-    """Name, core share, MB, KB/s and mechanism of each control task."""
+    """Yield the name, core share, MB, KB/s and mechanism of each control task."""
     list_rate = LIST_CHANGES_A_DAY / DAY
     change_rate = CHANGES_A_DAY / DAY
-    busy = homes * 3 * REFRESHES
+    busy = homes * 3 * IDLE_POLLS_PER_S
     yield (
         "home: polls of 2.2 groups",
         busy * slopes.probe_us / 1e6,
@@ -378,7 +392,7 @@
 
 
 def traffic_lines(slopes):
-    """What the callers' traffic costs, beside control."""
+    """Yield the costs of the callers' traffic and of the platform's calls."""
     rate = STATEMENTS / DAEMONS
     callers = CONNECTIONS / DAEMONS
     core = rate * (slopes.entry_us + slopes.home_us) / 1e6
@@ -398,7 +412,7 @@
 
 
 def main():
-    """Measure, and write the figures between the markers."""
+    """Measure, write the figures between the markers of the page, and print them."""
     lines = list(table(measure()))
     text = DOC.read_text()
     head, _, rest = text.partition(BEGIN)
--- a/bench/days.py
+++ b/bench/days.py
@@ -1,8 +1,8 @@
-"""Tables of the days that were played, from the journal of the users' bench.
+"""Tables of the days in the journal of the users' bench.
 
-`python -m bench.days [HEAD ...]` prints, for entries whose source begins with one of
-the given commits (all if none is given), worth and losses of each standard day, and
-writes docs/platform-matrix.md: each kind of trouble against each rule.
+`python -m bench.days [HEAD ...]` selects entries by prefixes of their commit (all
+without arguments). It prints worth and losses of each standard day, and writes
+docs/platform-matrix.md: each kind of trouble against each rule.
 """
 
 import json
@@ -12,7 +12,7 @@
 
 JOURNAL = Path(__file__).resolve().parent.parent / "journal"
 MATRIX = JOURNAL.parent / "docs" / "platform-matrix.md"
-STANDARD = "score"
+SCORE_COMMAND = "score"
 RULES = (
     "UNASKED",
     "ROUTE",
@@ -40,20 +40,22 @@
 )
 
 
-def read_days(heads):
-    """All played days of the entries that count: (entry, day) pairs."""
+def read_days(commits):
+    """Yield (entry, day) pairs of the selected entries that are ok."""
     for path in sorted(JOURNAL.glob("*.json")):
         entry = json.loads(path.read_text())
-        wanted = not heads or any(entry["head"].startswith(head) for head in heads)
+        wanted = not commits or any(
+            entry["head"].startswith(commit) for commit in commits
+        )
         if wanted and entry["ok"]:
             yield from ((entry, day) for day in entry["days"])
 
 
 def worth_table(days):
-    """Worth of the standard days in the newest score of each site."""
+    """Yield a table of the standard days in the newest score of each site."""
     newest = {}
     for entry, day in days:
-        if entry["cmd"] == STANDARD:
+        if entry["cmd"] == SCORE_COMMAND:
             newest[entry["site"], day["name"]] = day
     yield f"| {' | '.join(WORTH_COLUMNS)} |"
     yield "|---" * len(WORTH_COLUMNS) + "|"
@@ -68,13 +70,13 @@
 
 
 def trouble_table(days):
-    """Days with each kind of trouble, and how many of them broke which rule."""
+    """Yield a table of the days with each kind of trouble and the rules they broke."""
     played, broken = defaultdict(int), defaultdict(int)
     for _, day in days:
-        marks = [*day["rules"], *(["fault"] if day["fault"] else [])]
+        violations = [*day["rules"], *(["fault"] if day["fault"] else [])]
         for kind in day["troubles"]:
             played[kind] += 1
-            for rule in marks:
+            for rule in violations:
                 broken[kind, rule] += 1
     yield f"| trouble | days | {' | '.join(RULES)} |"
     yield "|---" * (2 + len(RULES)) + "|"
@@ -83,12 +85,12 @@
         yield f"| `{kind}` | {played[kind]} | {' | '.join(cells)} |"
 
 
-def write_matrix(days, heads):
+def write_matrix(days, commits):
     """Write docs/platform-matrix.md."""
     lines = [
         "# Troubles of the platform against its rules",
         "",
-        f"Written by `python -m bench.days {' '.join(heads)}`",
+        f"Written by `python -m bench.days {' '.join(commits)}`",
         f"from {len(days)} days of the journal. A row is a kind of trouble, alone or",
         "among others; `days` is how many days had it; a number under a rule says on",
         "how many of them that rule was broken, whichever trouble was the cause. Days",
@@ -99,12 +101,12 @@
     MATRIX.write_text("\n".join(lines) + "\n")
 
 
-def main(heads):
-    """Print the worth, write the matrix."""
-    days = list(read_days(heads))
+def main(commits):
+    """Print the table of worth and write the matrix."""
+    days = list(read_days(commits))
     print(f"{len(days)} days\n")
     print("\n".join(worth_table(days)))
-    write_matrix(days, heads)
+    write_matrix(days, commits)
 
 
 if __name__ == "__main__":
--- a/bench/failover.py
+++ b/bench/failover.py
@@ -1,7 +1,7 @@
-"""The failover gap in virtual time: how long writes stand still after a fault.
+"""The failover gap in virtual time: how long no write is acknowledged after a fault.
 
-The gap is the longest time between two acknowledged writes around the fault, less
-the usual time between two, with four writers at work.
+The gap is the longest time between the fault, the acknowledged writes of five callers
+after it, and the end of the run.
 """
 
 from dataclasses import replace
@@ -12,10 +12,10 @@
 from tests import matrix, scenario
 
 SEEDS = range(1, 6)
-WATCH = 4.0
+OBSERVED_SECONDS = 4.0
 WORKERS = 4
 LATENCIES = {"platform": 0.001, "cooling": 0.0005}
-SINGLE = (
+SINGLE_FAULTS = (
     matrix.kill_primary,
     matrix.cut_primary_from_group,
     matrix.cut_primary_from_daemons,
@@ -24,13 +24,13 @@
     matrix.cut_home_from_primary,
     matrix.silent_connections,
 )
-DOUBLE = (
+DOUBLE_FAULTS = (
     matrix.primary_and_home,
     matrix.primary_while_platform_down,
     matrix.partition_primary_with_one_daemon,
     matrix.partition_while_primary_silent,
 )
-HARMLESS = (
+HARMLESS_FAULTS = (
     matrix.freeze_primary_briefly,
     matrix.silent_connections,
     matrix.cut_home_from_primary,
@@ -39,13 +39,13 @@
 BASELINE = replace(DEFAULT_TUNING, suspect_after=3.0, ask_after=2.9)
 
 
-def writers_gap(fault, *, seed, latency, tuning=DEFAULT_TUNING):
-    """Seconds without an acknowledged write after a fault, and promotions."""
+def measure_run(fault, *, seed, latency, tuning=DEFAULT_TUNING):
+    """Run a fault; return the gap in seconds and the number of promotions."""
     run = scenario.start(seed=seed, latency=latency, tuning=tuning, callers=5)
     fault(run)
-    struck = run.world.clock.now
-    run.world.run(WATCH)
-    times = [struck, *(ack.at for ack in run.checker.acks if ack.at > struck)]
+    fault_at = run.world.clock.now
+    run.world.run(OBSERVED_SECONDS)
+    times = [fault_at, *(ack.at for ack in run.checker.acks if ack.at > fault_at)]
     times.append(run.world.clock.now)
     pairs = zip(times, times[1:], strict=False)
     gap = max(later - earlier for earlier, later in pairs)
@@ -53,18 +53,18 @@
     return gap, len(run.group.promoted) - 1
 
 
-def one_run(job):
-    """The gap and promotions of one run, in a process of its own."""
+def run_job(job):
+    """Run a job (fault name, seed, latency, tuning) in a worker process."""
     name, seed, latency, tuning = job
-    return writers_gap(getattr(matrix, name), seed=seed, latency=latency, tuning=tuning)
+    return measure_run(getattr(matrix, name), seed=seed, latency=latency, tuning=tuning)
 
 
-def gaps(pool, faults, latency, tuning=DEFAULT_TUNING):
-    """Gaps of all faults with all seeds, by fault."""
+def gaps_by_fault(pool, faults, latency, tuning=DEFAULT_TUNING):
+    """Return the gaps of all seeds by the fault's name."""
     jobs = [
         (fault.__name__, seed, latency, tuning) for fault in faults for seed in SEEDS
     ]
-    results = pool.map(one_run, jobs)
+    results = pool.map(run_job, jobs)
     by_fault = {}
     for (name, *_), (gap, _) in zip(jobs, results, strict=True):
         by_fault.setdefault(name, []).append(gap)
@@ -79,9 +79,9 @@
 
 
 def measure_gaps(pool):
-    """How long writes stand still."""
+    """Yield the failover gaps."""
     for name, latency in LATENCIES.items():
-        single = gaps(pool, SINGLE, latency)
+        single = gaps_by_fault(pool, SINGLE_FAULTS, latency)
         for fault, values in single.items():
             yield Figure(
                 name=f"failover_gap_{name}_{fault}_median",
@@ -101,14 +101,16 @@
             unit="virtual s",
             bound=2.0,
         )
-        double = gaps(pool, DOUBLE, latency)
+        double = gaps_by_fault(pool, DOUBLE_FAULTS, latency)
         yield Figure(
             name=f"failover_gap_{name}_double_worst",
             value=max(max(values) for values in double.values()),
             unit="virtual s",
             bound=11.0,
         )
-        slow = gaps(pool, (matrix.kill_primary,), latency, BASELINE)["kill_primary"]
+        slow = gaps_by_fault(pool, (matrix.kill_primary,), latency, BASELINE)[
+            "kill_primary"
+        ]
         yield Figure(
             name=f"failover_gap_{name}_against_fixed_timeout_of_3s",
             value=median(killed) / median(slow),
@@ -118,15 +120,15 @@
 
 
 def measure_false_promotions(pool):
-    """Promotions after faults that call for none."""
+    """Yield the number of promotions after faults that require none."""
     jobs = [
         (fault.__name__, seed, 0.001, DEFAULT_TUNING)
-        for fault in HARMLESS
+        for fault in HARMLESS_FAULTS
         for seed in SEEDS
     ]
     yield Figure(
         name="false_promotions",
-        value=sum(promotions for _, promotions in pool.map(one_run, jobs)),
+        value=sum(promotions for _, promotions in pool.map(run_job, jobs)),
         unit="count",
         bound=0,
     )
--- a/bench/gates.py
+++ b/bench/gates.py
@@ -1,8 +1,8 @@
-"""Plays the regression sites on the users' bench in turn, and prints one table.
+"""Runs the regression sites on the users' bench one by one and prints one table.
 
-`python -m bench.gates --bench PROGRAM --pages FOLDER --logs FOLDER` plays the standard
-days of each site in `sites.json`, whose files lie below the folder of the users' pages,
-and keeps what the bench printed of each. A site that gave no result is in the table.
+`python -m bench.gates --bench PROGRAM --pages FOLDER --logs FOLDER` runs the standard
+days of each site in `sites.json`, whose files are below the folder of the users' pages,
+and keeps the output of the bench for each. A site without a result is in the table too.
 """
 
 import json
@@ -18,8 +18,9 @@
 HERE = Path(__file__).resolve().parent
 SITES = HERE / "sites.json"
 JOURNAL = HERE.parent / "journal"
-# Sites of this many daemons take gigabytes and minutes a day: two days at once.
-LARGE = 60
+# A day of a site with at least this many daemons takes gigabytes and minutes, so fewer
+# days run concurrently.
+LARGE_SITE_DAEMONS = 60
 JOBS, LARGE_JOBS = 4, 2
 COLUMNS = (
     "site",
@@ -31,17 +32,17 @@
     "days given up",
     "code",
 )
-# The days without trouble, by their slot, and the one drawn for this run, by its name:
-# it counts for the gate, and not for a mean that is compared with an older one.
-QUIET, DRAWN = "quiet", "fresh-"
+# Slot of the days without trouble, and name prefix of the day that is drawn for each
+# run: it counts for the gate, but not for the mean, which is compared between runs.
+QUIET_SLOT, DRAWN_PREFIX = "quiet", "fresh-"
 
 
 class SitesError(Exception):
-    """The list of sites is unusable, or names are asked for that it does not have."""
+    """The list of sites is invalid, or lacks a requested site."""
 
 
 class Site(BaseModel):
-    """A deployment: its site file below the users' pages, and its daemons."""
+    """A deployment: its site file below the users' pages and its number of daemons."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -51,12 +52,12 @@
 
     @property
     def jobs(self):
-        """Days that are played at once."""
-        return LARGE_JOBS if self.daemons >= LARGE else JOBS
+        """Number of days that run concurrently."""
+        return LARGE_JOBS if self.daemons >= LARGE_SITE_DAEMONS else JOBS
 
 
 class SiteList(BaseModel):
-    """All sites that a change has to hold."""
+    """All sites whose gates a change has to pass."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -64,115 +65,116 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Played:
-    """What came of a site: its entry of the journal, or why there is none."""
+class SiteResult:
+    """The result of a site: its journal entry, or the reason why there is none."""
 
     site: Site
     entry: dict | None = None
-    why: str = ""
+    failure: str = ""
 
 
-def load_sites(path=SITES, wanted=()):
-    """The sites of a list, or those of them that are wanted; raises SitesError."""
+def load_sites(path=SITES, selected=()):
+    """Return all sites of a list or the selected ones; raises SitesError."""
     try:
         listed = SiteList.model_validate_json(path.read_text()).sites
     except (OSError, ValidationError) as exc:
         raise SitesError(f"{path.name}: {exc}") from exc
-    known = {site.name: site for site in listed}
-    if len(known) < len(listed):
+    by_name = {site.name: site for site in listed}
+    if len(by_name) < len(listed):
         raise SitesError(f"{path.name}: a site is listed twice")
-    unknown = sorted(set(wanted) - set(known))
+    unknown = sorted(set(selected) - set(by_name))
     if unknown:
         raise SitesError(f"no such site: {', '.join(unknown)}")
-    return [known[name] for name in wanted] if wanted else listed
+    return [by_name[name] for name in selected] if selected else listed
 
 
-def newest_entry(site, before):
-    """The score of a site that was written since, or None; `before` are older files."""
-    for path in sorted(set(JOURNAL.glob("*.json")) - before, reverse=True):
+def newest_entry(site, older):
+    """Return a site's newest score entry that is not in the files `older`, or None."""
+    for path in sorted(set(JOURNAL.glob("*.json")) - older, reverse=True):
         entry = json.loads(path.read_text())
         if entry["cmd"] == "score" and entry["site"] == site.name:
             return entry
     return None
 
 
-def play(site, options):
-    """Play the standard days of a site; what came of it."""
-    before = set(JOURNAL.glob("*.json"))
+def run_site(site, options):
+    """Run the standard days of a site and return its SiteResult."""
+    older = set(JOURNAL.glob("*.json"))
     log = options.logs / f"{site.name}.log"
     command = [str(options.bench), "score", str(options.pages / site.file)]
     command += ["--jobs", str(site.jobs), "--why", options.why]
     with log.open("w") as out:
         code = subprocess.run(command, stdout=out, stderr=subprocess.STDOUT).returncode
-    entry = newest_entry(site, before)
+    entry = newest_entry(site, older)
     if entry is None or not entry["ok"]:
-        return Played(site=site, why=f"not played to its end, exit code {code}")
-    return Played(site=site, entry=entry)
+        return SiteResult(site=site, failure=f"not played to its end, exit code {code}")
+    return SiteResult(site=site, entry=entry)
 
 
-def row(played):
-    """A site's line of the table."""
-    if played.entry is None:
-        return [played.site.name, played.why, *["-"] * (len(COLUMNS) - 2)]
+def row(result):
+    """Return the cells of a site's row."""
+    if result.entry is None:
+        return [result.site.name, result.failure, *["-"] * (len(COLUMNS) - 2)]
     standard = [
-        day for day in played.entry["days"] if not day["name"].startswith(DRAWN)
+        day for day in result.entry["days"] if not day["name"].startswith(DRAWN_PREFIX)
     ]
-    troubled = [day["G"] for day in standard if day["slot"] != QUIET]
-    lowest = min(played.entry["days"], key=lambda day: day["G"])
-    broken = sorted({rule for day in played.entry["days"] for rule in day["rules"]})
+    with_trouble = [day["G"] for day in standard if day["slot"] != QUIET_SLOT]
+    lowest = min(result.entry["days"], key=lambda day: day["G"])
+    broken = sorted({rule for day in result.entry["days"] for rule in day["rules"]})
     return [
-        played.site.name,
-        "passed" if played.entry["figures"].get("gate") == 1.0 else "FAILED",
-        f"{played.entry['score']:.3f}",
-        f"{sum(troubled) / len(troubled):.3f}" if troubled else "-",
+        result.site.name,
+        "passed" if result.entry["figures"].get("gate") == 1.0 else "FAILED",
+        f"{result.entry['score']:.3f}",
+        f"{sum(with_trouble) / len(with_trouble):.3f}" if with_trouble else "-",
         f"{lowest['name']} {lowest['G']:.3f}",
         ", ".join(broken) or "none",
-        str(played.entry["days_left_out"]),
-        played.entry["head"][:8] + (" changed" if played.entry["dirty"] else ""),
+        str(result.entry["days_left_out"]),
+        result.entry["head"][:8] + (" changed" if result.entry["dirty"] else ""),
     ]
 
 
-def table(all_played):
-    """The table of all sites."""
+def table(results):
+    """Yield the lines of the table of all sites."""
     yield f"| {' | '.join(COLUMNS)} |"
     yield "|---" * len(COLUMNS) + "|"
-    for played in all_played:
-        yield f"| {' | '.join(row(played))} |"
+    for result in results:
+        yield f"| {' | '.join(row(result))} |"
 
 
-def held(all_played):
-    """Tell whether every site passed."""
-    return all(row(played)[1] == "passed" for played in all_played)
+def all_passed(results):
+    """Return whether every site passed."""
+    return all(row(result)[1] == "passed" for result in results)
 
 
-@cappa.command(name="gates", help="Play the regression sites and print their gates.")
+@cappa.command(name="gates", help="Run the regression sites and print their gates.")
 @dataclass
 class Gates:
-    """Options of the run."""
+    """Command-line options."""
 
     bench: Annotated[Path, cappa.Arg(long=True, help="The users' bench program.")]
     pages: Annotated[Path, cappa.Arg(long=True, help="The folder of the users' pages.")]
-    logs: Annotated[Path, cappa.Arg(long=True, help="Where to keep what it prints.")]
-    why: Annotated[str, cappa.Arg(long=True, help="A line for the journal.")] = "gates"
+    logs: Annotated[Path, cappa.Arg(long=True, help="Folder for its output.")]
+    why: Annotated[str, cappa.Arg(long=True, help="Reason for the journal.")] = "gates"
     sites: Annotated[
-        list[str], cappa.Arg(short="-s", long="--site", help="Only this one; repeat.")
+        list[str],
+        cappa.Arg(short="-s", long="--site", help="Run only this site; repeatable."),
     ] = field(default_factory=list)
 
 
 def main(options):
-    """Play the sites; the exit code."""
+    """Run the sites; return 0 if all passed, 1 if not, 2 if the list is invalid."""
     try:
-        sites = load_sites(wanted=options.sites)
+        sites = load_sites(selected=options.sites)
     except SitesError as exc:
         print(f"gates: {exc}", file=sys.stderr)
         return 2
     options.logs.mkdir(parents=True, exist_ok=True)
-    all_played = []
+    results = []
     for site in sites:
         print(f"{site.name}: {site.jobs} days at once", flush=True)
-        all_played.append(play(site, options))
-    print("\n".join(table(all_played)))
-    return 0 if held(all_played) else 1
+        results.append(run_site(site, options))
+    print("\n".join(table(results)))
+    return 0 if all_passed(results) else 1
 
 
 if __name__ == "__main__":
--- a/bench/logic.py
+++ b/bench/logic.py
@@ -1,4 +1,4 @@
-"""Processor time of the decision logic for each request, and the messages it costs."""
+"""Processor time and messages of the decision logic per request."""
 
 import json
 import time
@@ -22,73 +22,79 @@
 from tests.fakes.world import World, get, make_spec, put
 
 READS = 4000
-REFERENCE = {"columns": ["a", "b"], "rows": [[1, "x"] * 4] * 4, "served_by": "u2"}
-SHARE_SECONDS = 4.0
+REFERENCE_ANSWER = {
+    "columns": ["a", "b"],
+    "rows": [[1, "x"] * 4] * 4,
+    "served_by": "u2",
+}
+MESSAGE_COUNT_SECONDS = 4.0
 
 
-def make_list(daemons):
-    """An instance list of some size, over eleven failure domains."""
+def make_instances(daemons):
+    """Return a list of daemon instances over eleven failure domains."""
     return tuple(
         Instance(id=f"d{n}", role=InstanceRole.DAEMON, domain=f"fd{n % 11}")
         for n in range(daemons)
     )
 
 
-def owner_of(database, instances):
-    """The daemon that is home of a database."""
+def home_of(database, instances):
+    """Return the daemon that is home of a database."""
     placement = Placement()
     placement.update(instances)
     return placement.first(database)
 
 
 def domain_of(daemon, instances):
-    """The failure domain of a daemon."""
+    """Return the failure domain of a daemon."""
     return next(item.domain for item in instances if item.id == daemon)
 
 
-class Bench:
-    """One node that is home of its databases, with instant upstreams."""
+class LogicHarness:
+    """Runs one node that is home of its databases, with upstreams that don't wait."""
 
     def __init__(self, *, databases=1, daemons=1):
         self.now = 0.0
         self.names = [f"db{number}" for number in range(databases)]
-        instances = make_list(daemons)
+        instances = make_instances(daemons)
         self.node = Node(
-            daemon=owner_of(self.names[0], instances),
-            domain=domain_of(owner_of(self.names[0], instances), instances),
+            daemon=home_of(self.names[0], instances),
+            domain=domain_of(home_of(self.names[0], instances), instances),
             incarnation="1",
             rng=Random(1),
         )
         self.replies = 0
         self.pending = []
-        self.step(InstancesListed(instances=instances))
+        self.handle(InstancesListed(instances=instances))
         manifests = tuple(accepted(make_spec(name)) for name in self.names)
-        self.step(ManifestsSeen(manifests=manifests, source="platform", complete=True))
+        self.handle(
+            ManifestsSeen(manifests=manifests, source="platform", complete=True)
+        )
         self.owned = [name for name, item in self.node.homes.items() if item.rank == 0]
 
-    def step(self, event):
-        """Feed one event; upstream actions wait to be answered."""
+    def handle(self, event):
+        """Pass an event to the node and collect its upstream actions."""
         for action in self.node.handle(event, self.now):
             if isinstance(action, actions.Reply):
                 self.replies += 1
             elif isinstance(action, actions.Read | actions.Probe | actions.Claim):
                 self.pending.append(action)
 
-    def settle(self):
-        """Answer all upstream actions, and what follows from them."""
+    def answer_pending(self):
+        """Answer all upstream actions, including those that the answers cause."""
         while self.pending:
             action = self.pending.pop(0)
-            self.step(self.answer(action))
+            self.handle(self.answer(action))
 
     def answer(self, action):
-        """The answer of a healthy group."""
+        """Return the answer of a healthy group to an action."""
         ids = {"op": action.op, "database": action.database}
         if isinstance(action, actions.Read):
             return Ran(**ids, result=Result(columns=("a",), rows=((1,),)))
         return StatusKnown(**ids, status=self.status(action))
 
     def status(self, action):
-        """A level group's status."""
+        """Return the status of an upstream in a group without lag."""
         primary = action.upstream.endswith("u1")
         return Status(
             upstream=action.upstream,
@@ -101,17 +107,17 @@
         )
 
     def warm(self):
-        """Let the owned databases learn their groups."""
+        """Activate the owned databases and probe their groups."""
         for name in self.owned:
             self.node.homes[name].activate()
             self.node.homes[name].watch.poll_once()
         for action in self.node.ctx.take():
             if isinstance(action, actions.Probe):
                 self.pending.append(action)
-        self.settle()
+        self.answer_pending()
 
     def requests(self, count):
-        """Reads with a token, spread over the owned databases."""
+        """Yield reads with a session token, spread over the owned databases."""
         statement = Statement(sql="select a", params=("t",))
         for number in range(count):
             yield Request(
@@ -126,30 +132,30 @@
             )
 
     def microseconds(self, count=READS):
-        """Processor time per request, home and entry together."""
+        """Return the processor time per request in µs, home and entry together."""
         self.warm()
         requests = list(self.requests(count))
         self.replies = 0
-        begin = time.process_time()
+        started_at = time.process_time()
         for request in requests:
-            self.step(CallerRequest(request=request))
-            self.settle()
-        used = time.process_time() - begin
+            self.handle(CallerRequest(request=request))
+            self.answer_pending()
+        cpu_seconds = time.process_time() - started_at
         assert self.replies == count, self.replies
-        return used / count * 1e6
+        return cpu_seconds / count * 1e6
 
 
 def reference_microseconds():
-    """A yardstick in the same run: writing and reading one small JSON answer."""
-    begin = time.process_time()
+    """Return the time to write and read a small JSON answer in µs, as a baseline."""
+    started_at = time.process_time()
     for _ in range(READS):
-        json.loads(json.dumps(REFERENCE))
-    return (time.process_time() - begin) / READS * 1e6
+        json.loads(json.dumps(REFERENCE_ANSWER))
+    return (time.process_time() - started_at) / READS * 1e6
 
 
 def measure():
     """Yield the figures."""
-    own = min(Bench().microseconds() for _ in range(3))
+    own = min(LogicHarness().microseconds() for _ in range(3))
     yield Figure(name="logic_per_read", value=own, unit="microseconds")
     yield Figure(
         name="logic_per_read_against_a_json_answer",
@@ -157,7 +163,9 @@
         unit="ratio",
         bound=15.0,
     )
-    large = min(Bench(databases=8700, daemons=4000).microseconds() for _ in range(2))
+    large = min(
+        LogicHarness(databases=8700, daemons=4000).microseconds() for _ in range(2)
+    )
     yield Figure(
         name="logic_per_read_8700_databases_4000_daemons_against_1",
         value=large / own,
@@ -168,12 +176,12 @@
 
 
 def measure_messages():
-    """Messages for each read and write, and platform calls, in virtual time."""
+    """Yield messages per read and write, and platform calls, in virtual time."""
     for verb, fields in (("read", get("c", "t")), ("write", put("c", 1, "t"))):
-        counts, asked = count_messages(fields)
+        counts, requests = count_messages(fields)
         for kind, count in sorted(counts.items()):
             yield Figure(
-                name=f"messages_per_{verb}_{kind}", value=count / asked, unit="count"
+                name=f"messages_per_{verb}_{kind}", value=count / requests, unit="count"
             )
     few, many = platform_calls(9), platform_calls(90)
     yield Figure(
@@ -188,19 +196,19 @@
 
 
 def count_messages(fields):
-    """Upstream actions while requests come one after the other, by kind."""
+    """Return counts of messages by kind for sequential requests, and the requests."""
     world = World(daemons=3)
     world.run(2.0)
     for server in world.groups["grid"].servers.values():
         server.arrivals.clear()
     sent = world.messages
-    asked = 0
+    requests = 0
     verb = fields["verb"]
     plain = {name: value for name, value in fields.items() if name != "verb"}
-    end = world.clock.now + SHARE_SECONDS
+    end = world.clock.now + MESSAGE_COUNT_SECONDS
     session = Position(term=1, index=0)
     while world.clock.now < end:
-        asked += 1
+        requests += 1
         world.ask("d0", verb, lambda answer: None, session=session, **plain)
         world.run(0.01)
     arrivals = Counter(
@@ -209,11 +217,11 @@
         for _, action in server.arrivals
     )
     arrivals["between_daemons"] = world.messages - sent
-    return arrivals, asked
+    return arrivals, requests
 
 
 def platform_calls(daemons):
-    """Watch calls that the fleet holds open; lists of instances come on top."""
+    """Return the fleet's watch calls per minute, without its lists of instances."""
     world = World(daemons=daemons)
     world.run(2.0)
     watchers = [host for host in world.hosts.values() if host.node.manifests.watches()]
--- a/bench/manifests.py
+++ b/bench/manifests.py
@@ -3,12 +3,15 @@
 from bench.report import Figure
 from tests.fakes.world import World, make_spec
 
-STEP = 0.01
-LIMIT = 30.0
+CHECK_INTERVAL = 0.01
+TIMEOUT = 30.0
 
 
 def time_in_force(*, daemons, domains, outage=0.0):
-    """Seconds from acceptance to the last daemon; the platform may fail after it."""
+    """Return the seconds from a manifest's acceptance until all daemons use it.
+
+    With an `outage`, the platform fails after it has told one watcher of the change.
+    """
     world = World(daemons=daemons, domains=domains)
     world.run(4.0)
     platform = world.platform
@@ -16,31 +19,33 @@
         lambda number: make_spec(version=number, slots=4), expect=1, writer="operator"
     )
     if outage:
-        keep_only_first_answer(world)
+        fail_after_first_delivery(world)
         platform.down = True
-    begin = world.clock.now
-    while not everywhere(world) and world.clock.now < begin + LIMIT:
-        world.run(STEP)
-    return world.clock.now - begin
+    started_at = world.clock.now
+    while not in_force_everywhere(world) and world.clock.now < started_at + TIMEOUT:
+        world.run(CHECK_INTERVAL)
+    return world.clock.now - started_at
 
 
-def keep_only_first_answer(world):
-    """The platform fails after it has told one watcher of the change."""
+def fail_after_first_delivery(world):
+    """Deliver the change to one watcher before the platform fails."""
     watcher = next(
         host for host in world.hosts.values() if host.node.manifests.watches()
     )
-    world.clock.after(0.0, lambda: set_down(world, watcher, world.platform.snapshot()))
+    world.clock.after(
+        0.0, lambda: deliver_to_watcher(world, watcher, world.platform.snapshot())
+    )
 
 
-def set_down(world, watcher, snapshot):
-    """Deliver to one watcher although the platform is down."""
+def deliver_to_watcher(world, watcher, snapshot):
+    """Send a snapshot to a watcher although the platform is down."""
     world.platform.down = False
     world.platform.send_all(watcher, snapshot)
     world.platform.down = True
 
 
-def everywhere(world):
-    """Tell whether every daemon has the second version."""
+def in_force_everywhere(world):
+    """Return whether every daemon uses the second version."""
     return all(
         host.node.manifests.in_force["grid"].spec.version == 2
         for host in world.hosts.values()
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,8 @@
-"""Processor time of the whole path for each statement, against a bare handler.
+"""Processor time per statement of the whole request path, against a bare handler.
 
-Real processes on loopback: callers keep their connections, the entry is not the
-home. Processor time is what the kernel counted for the daemons, so that a busy
-machine does not show as a slow path.
+Runs real processes on loopback. Callers keep their connections, and the entry daemon is
+not the home. Processor time is taken from the kernel's accounting of the daemons, so
+that load from other processes on the machine doesn't count.
 """
 
 import http.client
@@ -18,18 +18,18 @@
 STATEMENTS = 1500
 CALLERS = 4
 SQL = "SELECT COUNT(*) FROM requests WHERE applicant = %s"
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 def processor_seconds(process):
-    """User and system time of a process so far, from the kernel's own count."""
+    """Return the user and system time of a process so far, from /proc."""
     fields = Path(f"/proc/{process.popen.pid}/stat").read_text().rpartition(")")[2]
     user, system = fields.split()[11:13]
-    return (int(user) + int(system)) / TICK
+    return (int(user) + int(system)) / TICKS_PER_SECOND
 
 
 def post_many(port, path, count, headers):
-    """One caller with one connection."""
+    """Send a caller's requests over one connection."""
     body = json.dumps(
         {"kind": "status", "member": "north", "sql": SQL, "params": ["x"]}
     )
@@ -45,8 +45,8 @@
     conn.close()
 
 
-def load(port, path):
-    """Several callers at once."""
+def run_load(port, path):
+    """Run STATEMENTS requests from concurrent callers."""
     threads = [
         threading.Thread(target=post_many, args=(port, path, STATEMENTS // CALLERS, {}))
         for _ in range(CALLERS)
@@ -57,11 +57,14 @@
         thread.join()
 
 
-def cost(processes, port, path):
-    """Microseconds of processor time for each statement, by process."""
-    load(port, path)
+def measure_cost(processes, port, path):
+    """Return the microseconds of processor time per statement for each process.
+
+    A first load, which is not measured, warms up the processes.
+    """
+    run_load(port, path)
     before = [processor_seconds(item) for item in processes]
-    load(port, path)
+    run_load(port, path)
     after = [processor_seconds(item) for item in processes]
     return [
         (later - earlier) / STATEMENTS * 1e6
@@ -73,26 +76,26 @@
     """Yield the figures."""
     with Cluster() as cluster:
         bare = cluster.spawn("bare", [sys.executable, "-m", "bench.bare"]).wait_ready()
-        (yardstick,) = cost([bare], int(bare.ready[0]), "/v1/grid/query")
+        (baseline,) = measure_cost([bare], int(bare.ready[0]), "/v1/grid/query")
         home = cluster.home()[0]
         entry = next(name for name in cluster.daemons if name != home)
-        pair = [cluster.daemons[entry], cluster.daemons[home]]
+        processes = [cluster.daemons[entry], cluster.daemons[home]]
         port = int(ports(cluster.daemons[entry])["callers"])
-        at_entry, at_home = cost(pair, port, "/v1/grid/query")
-        board = cluster.explain(home)["home"]
-    yield Figure(name="path_bare_handler", value=yardstick, unit="microseconds")
+        at_entry, at_home = measure_cost(processes, port, "/v1/grid/query")
+        home_status = cluster.explain(home)["home"]
+    yield Figure(name="path_bare_handler", value=baseline, unit="microseconds")
     yield Figure(name="path_entry", value=at_entry, unit="microseconds")
     yield Figure(name="path_home", value=at_home, unit="microseconds")
     yield Figure(
         name="path_entry_and_home_against_bare",
-        value=(at_entry + at_home) / yardstick,
+        value=(at_entry + at_home) / baseline,
         unit="ratio",
         bound=6.0,
     )
     yield Figure(
         name="path_reads_at_replicas",
-        value=board["reads_replica"]
-        / (board["reads_replica"] + board["reads_primary"]),
+        value=home_status["reads_replica"]
+        / (home_status["reads_replica"] + home_status["reads_primary"]),
         unit="ratio",
         bound=0.95,
         lowest=True,
--- a/bench/replicas.py
+++ b/bench/replicas.py
@@ -1,10 +1,9 @@
-"""Replica share under a spring surge, in virtual time.
+"""Share of reads served by replicas under a read-heavy load, in virtual time.
 
-Status checks dominate, planners' writes land on the primary, replicas lag from
-50 ms to far behind. A read counts as lawful for replicas if, at the moment it was
-asked, some replica truly showed the caller's last write and data young enough.
-Counting starts when the first home's claim has reached the replicas: until then a
-caller without a token is sent to the primary.
+Most requests are reads; replicas lag by 50 ms to 30 s. A read counts as eligible for
+replicas if some replica, when the read was sent, showed the caller's last write and
+data within the age limit. Counting starts once the first home's claim has reached the
+replicas: until then a caller without a token is sent to the primary.
 """
 
 from dataclasses import dataclass
@@ -22,9 +21,9 @@
 RATE = 250.0
 SECONDS = 8.0
 WARM_UP = 2.0
-APPLICANTS = 400
+CALLERS = 400
 WRITE_SHARE = 0.08
-ROAMING_SHARE = 0.2
+NO_TOKEN_SHARE = 0.2
 LAGS = (0.05, 0.2, 1.0)
 FAR_BEHIND = 30.0
 KINDS = (
@@ -34,8 +33,8 @@
 
 
 @dataclass
-class Applicant:
-    """A caller with its last write."""
+class Caller:
+    """A caller with its last write and session token."""
 
     name: str
     value: int = 0
@@ -44,8 +43,8 @@
     busy: bool = False
 
 
-class Surge:
-    """Open-loop load on one group; counts lawful reads and where they went."""
+class MixedLoad:
+    """Open-loop load on one group; counts eligible reads and who served them."""
 
     def __init__(self, *, lags, seed=5):
         self.rng = Random(seed)
@@ -56,18 +55,18 @@
         self.world.run(1.0)
         for name, lag in zip(("grid-u2", "grid-u3"), lags, strict=True):
             self.group.servers[name].apply_lag = lag
-        self.applicants = [Applicant(name=f"a{n}") for n in range(APPLICANTS)]
+        self.callers = [Caller(name=f"a{n}") for n in range(CALLERS)]
         self.commit_times = {}
         self.counting = False
-        self.lawful = 0
-        self.lawful_at_replica = 0
+        self.eligible = 0
+        self.eligible_at_replica = 0
         self.at_replica = 0
         self.reads = 0
         self.too_old = 0
-        self.waits = []
+        self.latencies = []
 
     def run(self):
-        """Let the surge pass."""
+        """Run the load; counting starts after WARM_UP."""
         self.arrive()
         self.world.run(WARM_UP)
         self.counting = True
@@ -75,117 +74,120 @@
         return self
 
     def arrive(self):
-        """The next applicant comes."""
+        """Send a request of a random idle caller and schedule the next one."""
         self.world.clock.after(self.rng.expovariate(RATE), self.arrive)
-        person = self.rng.choice(self.applicants)
-        if person.busy:
+        caller = self.rng.choice(self.callers)
+        if caller.busy:
             return
-        person.busy = True
+        caller.busy = True
         if self.rng.random() < WRITE_SHARE:
-            self.write(person)
+            self.write(caller)
         else:
-            self.read(person)
+            self.read(caller)
 
-    def host(self):
-        """Any daemon."""
+    def any_daemon(self):
+        """Return a random daemon's name."""
         return f"d{self.rng.randrange(9)}"
 
-    def write(self, person):
-        """A submission."""
-        person.value += 1
-        fields = put(person.name, person.value, person.name)
+    def write(self, caller):
+        """Send a write."""
+        caller.value += 1
+        fields = put(caller.name, caller.value, caller.name)
         verb = fields.pop("verb")
         self.world.ask(
-            self.host(),
+            self.any_daemon(),
             verb,
-            lambda a: self.wrote(person, a),
-            caller=person.name,
+            lambda a: self.write_done(caller, a),
+            caller=caller.name,
             **fields,
         )
 
-    def wrote(self, person, answer):
-        """It is done."""
-        person.busy = False
+    def write_done(self, caller, answer):
+        """Record a write's position and the time of its commit."""
+        caller.busy = False
         if done(answer):
-            person.session = answer.position
-            person.written = answer.position.index
+            caller.session = answer.position
+            caller.written = answer.position.index
             length = len(self.group.member("grid-u1").log)
             self.commit_times.setdefault(length, self.world.clock.now)
 
-    def read(self, person):
-        """A status check; some callers come without their token."""
-        fields = get(person.name, person.name)
+    def read(self, caller):
+        """Send a read, for a share of the requests without the session token."""
+        fields = get(caller.name, caller.name)
         verb = fields.pop("verb")
-        roams = self.rng.random() < ROAMING_SHARE
-        lawful = self.is_lawful(person)
-        asked = self.world.clock.now
+        without_token = self.rng.random() < NO_TOKEN_SHARE
+        eligible = self.is_replica_eligible(caller)
+        sent_at = self.world.clock.now
         self.world.ask(
-            self.host(),
+            self.any_daemon(),
             verb,
-            lambda a: self.was_read(person, a, lawful, asked),
-            caller=person.name,
-            session=None if roams else person.session,
+            lambda a: self.read_done(caller, a, eligible, sent_at),
+            caller=caller.name,
+            session=None if without_token else caller.session,
             **fields,
         )
 
-    def is_lawful(self, person):
-        """Tell whether some replica truly could serve this read now."""
+    def is_replica_eligible(self, caller):
+        """Return whether the actual state of some replica allows this read now."""
         limit = self.world.clock.now - KINDS[0].max_age_ms / 1000
         for name in ("grid-u2", "grid-u3"):
             applied = self.group.member(name).applied
             missing = [at for index, at in self.commit_times.items() if index > applied]
-            if applied >= person.written and min(missing, default=limit) >= limit:
+            if applied >= caller.written and min(missing, default=limit) >= limit:
                 return True
         return False
 
-    def was_read(self, person, answer, lawful, asked):
-        """Count a read."""
-        person.busy = False
+    def read_done(self, caller, answer, eligible, sent_at):
+        """Count a read that was answered."""
+        caller.busy = False
         if not done(answer):
             return
         if answer.position is not None:
-            person.session = max(answer.position, person.session or answer.position)
+            caller.session = max(answer.position, caller.session or answer.position)
         if not self.counting:
             return
         self.reads += 1
-        self.waits.append(self.world.clock.now - asked)
+        self.latencies.append(self.world.clock.now - sent_at)
         replica = answer.served_by != "grid-u1"
         self.at_replica += replica
-        self.lawful += lawful
-        self.lawful_at_replica += lawful and replica
+        self.eligible += eligible
+        self.eligible_at_replica += eligible and replica
         if replica and answer.age_ms > KINDS[0].max_age_ms:
             self.too_old += 1
 
 
 def primary_after_write(self, job, claimed):
-    """Baseline: whoever has written reads at the primary ever after."""
-    placement = PLAIN_PLACE(self, job, claimed)
+    """Baseline: a caller that has written always reads at the primary."""
+    placement = ORIGINAL_PLACE(self, job, claimed)
     if placement.place is Place.REPLICA and job.caller in self.recent.last:
         return Placement(place=Place.PRIMARY)
     return placement
 
 
-def primary_unless_level(self, job, claimed):
-    """Baseline: a replica only if its lag is zero."""
-    placement = PLAIN_PLACE(self, job, claimed)
+def primary_unless_caught_up(self, job, claimed):
+    """Baseline: use a replica only if its lag is zero."""
+    placement = ORIGINAL_PLACE(self, job, claimed)
     if placement.place is not Place.REPLICA:
         return placement
     end = self.view.end()
-    level = tuple(
+    caught_up = tuple(
         name
         for name in placement.upstreams
         if self.view.status(name).visible.covers(end)
     )
-    if not level:
+    if not caught_up:
         return Placement(place=Place.PRIMARY)
-    return Placement(place=Place.REPLICA, upstreams=level)
+    return Placement(place=Place.REPLICA, upstreams=caught_up)
 
 
 @dataclass(frozen=True)
-class SurgeResult:
-    """What a surge came to; times in virtual seconds, probes for each read."""
+class LoadResult:
+    """The result of a load: latencies in virtual seconds, `probes` per read.
 
-    lawful: float
+    `eligible` is the share of eligible reads that replicas served, `share` that of all.
+    """
+
+    eligible: float
     share: float
     too_old: int
     median: float
@@ -193,31 +195,31 @@
     probes: float
 
 
-PLAIN_PLACE = ReadDesk.place
+ORIGINAL_PLACE = ReadDesk.place
 POLICIES = {
-    "gypsumhitch": PLAIN_PLACE,
+    "gypsumhitch": ORIGINAL_PLACE,
     "primary_after_write": primary_after_write,
-    "primary_unless_level": primary_unless_level,
+    "primary_unless_level": primary_unless_caught_up,
 }
 
 
-def surge(job):
-    """One surge under one policy, in a process of its own."""
+def run_load(job):
+    """Run a load (policy, lags) in a worker process."""
     policy, lags = job
     ReadDesk.place = POLICIES[policy]
-    run = Surge(lags=lags).run()
-    ReadDesk.place = PLAIN_PLACE
+    run = MixedLoad(lags=lags).run()
+    ReadDesk.place = ORIGINAL_PLACE
     probes = sum(
         isinstance(action, Probe)
         for server in run.group.servers.values()
         for _, action in server.arrivals
     )
-    return SurgeResult(
-        lawful=run.lawful_at_replica / max(1, run.lawful),
+    return LoadResult(
+        eligible=run.eligible_at_replica / max(1, run.eligible),
         share=run.at_replica / run.reads,
         too_old=run.too_old,
-        median=percentile(run.waits, 0.5),
-        p99=percentile(run.waits, 0.99),
+        median=percentile(run.latencies, 0.5),
+        p99=percentile(run.latencies, 0.99),
         probes=probes / run.reads,
     )
 
@@ -228,7 +230,7 @@
     cases["one_far_behind"] = (FAR_BEHIND, 0.05)
     jobs = [(policy, lags) for lags in cases.values() for policy in POLICIES]
     with Pool(4) as pool:
-        results = dict(zip(jobs, pool.map(surge, jobs), strict=True))
+        results = dict(zip(jobs, pool.map(run_load, jobs), strict=True))
     for case, lags in cases.items():
         for policy in POLICIES:
             result = results[(policy, lags)]
@@ -236,7 +238,7 @@
             name = f"replica_share_{case}_{policy}"
             yield Figure(
                 name=f"{name}_of_lawful",
-                value=result.lawful,
+                value=result.eligible,
                 unit="ratio",
                 bound=0.95 if ours else None,
                 lowest=True,
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Figures as JSON lines, each with its bound."""
+"""Measured figures with their bounds, printed as JSON lines."""
 
 import json
 from dataclasses import asdict, dataclass
@@ -6,7 +6,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Figure:
-    """One measured figure; `bound` is its highest (or lowest) allowed value."""
+    """One measured figure; `bound` is its maximum, or its minimum if `lowest` is set.
+
+    The fields are written to the JSON line under these names.
+    """
 
     name: str
     value: float
@@ -16,14 +19,14 @@
 
     @property
     def holds(self):
-        """Tell whether the bound is kept."""
+        """Return whether the value is within its bound."""
         if self.bound is None:
             return True
         return self.value >= self.bound if self.lowest else self.value <= self.bound
 
 
-def show(figure):
-    """Print one figure; returns whether it holds."""
+def print_figure(figure):
+    """Print a figure as a JSON line and return whether it is within its bound."""
     line = asdict(figure)
     line["value"] = round(figure.value, 4)
     line["holds"] = figure.holds
@@ -32,12 +35,12 @@
 
 
 def median(values):
-    """The middle of some values."""
-    ranked = sorted(values)
-    return ranked[len(ranked) // 2]
+    """Return the median, the upper one of an even number of values."""
+    ordered = sorted(values)
+    return ordered[len(ordered) // 2]
 
 
 def percentile(values, share):
-    """The value below which a share of the values lies."""
-    ranked = sorted(values)
-    return ranked[min(len(ranked) - 1, int(len(ranked) * share))]
+    """Return the value below which a share of the values lies."""
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,4 +1,4 @@
-"""`make bench`: all figures as JSON lines; exits 1 when one is over its bound."""
+"""`make bench`: prints all figures as JSON lines; exits 1 if one is out of bounds."""
 
 import sys
 
@@ -12,19 +12,22 @@
     replicas,
     start,
 )
-from bench.report import show
+from bench.report import print_figure
 
-PARTS = (start, logic, path, connections, manifests, failover, replicas, overload)
+BENCHMARKS = (start, logic, path, connections, manifests, failover, replicas, overload)
 
 
 def main():
-    """Measure everything."""
-    broken = [
-        figure.name for part in PARTS for figure in part.measure() if not show(figure)
+    """Run all benchmarks; return 1 if a figure is out of its bound, else 0."""
+    exceeded = [
+        figure.name
+        for benchmark in BENCHMARKS
+        for figure in benchmark.measure()
+        if not print_figure(figure)
     ]
-    for name in broken:
-        print(f"over its bound: {name}", file=sys.stderr)
-    return int(bool(broken))
+    for name in exceeded:
+        print(f"out of its bound: {name}", file=sys.stderr)
+    return int(bool(exceeded))
 
 
 if __name__ == "__main__":
--- a/bench/start.py
+++ b/bench/start.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a start: both programs, side by side."""
+"""Processor time and memory of importing each of the two daemon programs."""
 
 import subprocess
 import sys
@@ -6,21 +6,21 @@
 from bench.report import Figure, median
 
 RUNS = 7
-# A daemon that starts does not serve: the platform's program has to be ready in half
-# the processor time of the older one, and its instances have 200 MB at the least.
-TIMES_BOUND = 0.5
-MEGABYTES_BOUND = 40.0
-PROBE = """
+# A starting daemon doesn't serve yet, so the platform's program has to start in half
+# the processor time of the older one. Its instances have at least 200 MB of memory.
+CPU_RATIO_BOUND = 0.5
+RESIDENT_MB_BOUND = 40.0
+IMPORT_SCRIPT = """
 import resource, time
-began = time.process_time()
+started_at = time.process_time()
 import {module}
-spent = (time.process_time() - began) * 1000
-print(spent, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024)
+cpu_ms = (time.process_time() - started_at) * 1000
+print(cpu_ms, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024)
 """
 
 
 def measure():
-    """Imports of both programs, in processes of their own, in turn."""
+    """Yield the figures; both programs are imported alternately in new processes."""
     old, new = [], []
     for _ in range(RUNS):
         old.append(import_once("gypsum_daemon.main"))
@@ -32,23 +32,23 @@
         name="start_platform_against_http",
         value=new_ms / old_ms,
         unit="times",
-        bound=TIMES_BOUND,
+        bound=CPU_RATIO_BOUND,
     )
     yield Figure(
         name="resident_platform_daemon",
         value=median([megabytes for _, megabytes in new]),
         unit="MB",
-        bound=MEGABYTES_BOUND,
+        bound=RESIDENT_MB_BOUND,
     )
 
 
 def import_once(module):
-    """Processor milliseconds and resident megabytes of one import."""
-    done = subprocess.run(
-        [sys.executable, "-c", PROBE.format(module=module)],
+    """Import a module in a new process; return (processor ms, resident MB)."""
+    completed = subprocess.run(
+        [sys.executable, "-c", IMPORT_SCRIPT.format(module=module)],
         check=True,
         capture_output=True,
         text=True,
     )
-    spent, megabytes = done.stdout.split()
-    return float(spent), float(megabytes)
+    cpu_ms, megabytes = completed.stdout.split()
+    return float(cpu_ms), float(megabytes)
--- a/demo/platform_run.py
+++ b/demo/platform_run.py
@@ -1,6 +1,6 @@
-"""Three daemons of the platform's form in half a minute: load, a dead primary, drain.
+"""Demo of three platform daemons in half a minute: load, a killed primary, a drain.
 
-Exits 0 when every step holds, else 1 and says which did not.
+Exits 0 if every step succeeds, else 1 with the step that failed.
 """
 
 import asyncio
@@ -13,30 +13,30 @@
 from tests.standins.platformworld import Load, world  # noqa: E402
 
 
-def expect(holds, text):
-    """Say that a step holds, or stop."""
-    if not holds:
+def expect(condition, text):
+    """Print that a step succeeded, or exit with the failure."""
+    if not condition:
         sys.exit(f"FAILED: {text}")
     print(f"ok: {text}", flush=True)
 
 
 async def main():
-    """All steps."""
+    """Run all steps."""
     with tempfile.TemporaryDirectory() as folder:
-        async with world(folder) as made:
-            load = Load(made=made)
-            running = asyncio.create_task(load.run())
+        async with world(folder) as platform:
+            load = Load(made=platform)
+            load_task = asyncio.create_task(load.run())
             await load.until_kept(200)
             expect(True, f"{len(load.kept)} writes acknowledged and read back")
-            made.crash("u1")
+            platform.crash("u1")
             await load.until_kept(200)
-            leader = made.group.leader.id
+            leader = platform.group.leader.id
             expect(leader != "u1", f"the primary was killed, {leader} leads")
-            code = await made.stop("d0")
+            code = await platform.stop("d0")
             await load.until_kept(100)
             expect(code == 0, "a daemon was stopped and left in order")
             load.running = False
-            await running
+            await load_task
             expect(
                 load.broken() == {}, f"nothing lost, doubled or stale: {load.broken()}"
             )
--- a/demo/run.py
+++ b/demo/run.py
@@ -1,6 +1,6 @@
-"""The job in one minute: writes, reads, a failed primary, a clean shutdown.
+"""Demo in one minute: writes, reads, a killed primary, a clean shutdown.
 
-Exits 0 when every step holds, else 1 and says which did not.
+Exits 0 if every step succeeds, else 1 with the step that failed.
 """
 
 import signal
@@ -12,64 +12,69 @@
 
 from tests.cluster import Cluster  # noqa: E402
 
-FAILOVER_LIMIT = 30.0
-EXIT_LIMIT = 30.0
+FAILOVER_TIMEOUT = 30.0
+EXIT_TIMEOUT = 30.0
 INSERT = "INSERT INTO requests (applicant, status) VALUES (%s, 'filed')"
 COUNT = "SELECT COUNT(*) FROM requests WHERE applicant = %s"
 
 
 class StepFailed(Exception):
-    """A step of the demo did not hold."""
+    """A step of the demo failed."""
 
 
-def expect(holds, text):
-    """Say that a step holds, or stop."""
-    if not holds:
+def expect(condition, text):
+    """Print that a step succeeded, or raise StepFailed."""
+    if not condition:
         raise StepFailed(text)
     print(f"ok: {text}", flush=True)
 
 
 def write_and_read(cluster):
-    """A write through one daemon shows at once through another."""
-    wrote = cluster.query("d0", "submit", INSERT, ["anna"], Idempotency_Key="anna-1")
-    expect(wrote.status == 200, f"write through d0: {wrote.body['served_by']}")
-    read = cluster.query("d1", "status", COUNT, ["anna"], Gypsum_Session=wrote.session)
+    """Check that a write through one daemon is visible through others immediately."""
+    written = cluster.query("d0", "submit", INSERT, ["anna"], Idempotency_Key="anna-1")
+    expect(written.status == 200, f"write through d0: {written.body['served_by']}")
+    read = cluster.query(
+        "d1", "status", COUNT, ["anna"], Gypsum_Session=written.session
+    )
     expect(read.body["rows"] == [[1]], "d1 shows the write to its session")
-    roamed = cluster.query("d2", "status", COUNT, ["anna"])
-    expect(roamed.body["rows"] == [[1]], "d2 shows it to a caller without a token")
+    read_without_token = cluster.query("d2", "status", COUNT, ["anna"])
+    expect(
+        read_without_token.body["rows"] == [[1]],
+        "d2 shows it to a caller without a token",
+    )
     again = cluster.query("d2", "submit", INSERT, ["anna"], Idempotency_Key="anna-1")
     expect(again.body["replayed"], "the same key again is answered, not run")
-    return wrote.session
+    return written.session
 
 
 def read_replica(cluster, session):
-    """A read that accepts some age is served by a replica."""
+    """Check that a read that accepts stale data is served by a replica."""
     time.sleep(0.5)
     read = cluster.query("d2", "status", COUNT, ["anna"], Gypsum_Session=session)
-    board = cluster.home()[1]
+    home_status = cluster.home()[1]
     served_by = read.body["served_by"]
     expect(
-        read.body["rows"] == [[1]] and served_by != board["primary"],
+        read.body["rows"] == [[1]] and served_by != home_status["primary"],
         f"aged read from replica {served_by}, age {read.body['age_ms']:.0f} ms",
     )
 
 
 def fail_primary(cluster):
-    """Writes go on by themselves after the primary is killed."""
+    """Check that writes resume without intervention after the primary is killed."""
     primary = cluster.home()[1]["primary"]
     cluster.upstreams[primary].signal(signal.SIGKILL)
-    killed = time.monotonic()
+    killed_at = time.monotonic()
     answer = None
-    number = 0
-    while time.monotonic() - killed < FAILOVER_LIMIT:
-        number += 1
+    attempt = 0
+    while time.monotonic() - killed_at < FAILOVER_TIMEOUT:
+        attempt += 1
         answer = cluster.query(
-            "d1", "submit", INSERT, ["bela"], Idempotency_Key=f"bela-{number}"
+            "d1", "submit", INSERT, ["bela"], Idempotency_Key=f"bela-{attempt}"
         )
         if answer.status == 200:
             break
         time.sleep(0.02)
-    gap = time.monotonic() - killed
+    gap = time.monotonic() - killed_at
     expect(
         answer.status == 200 and answer.body["served_by"] != primary,
         f"{primary} killed, {answer.body.get('served_by')} leads, "
@@ -80,10 +85,10 @@
 
 
 def shut_down(cluster):
-    """Every daemon drains and exits by itself."""
+    """Check that every daemon drains and exits with 0 after SIGTERM."""
     for daemon in cluster.daemons.values():
         daemon.signal(signal.SIGTERM)
-    codes = [item.popen.wait(EXIT_LIMIT) for item in cluster.daemons.values()]
+    codes = [item.popen.wait(EXIT_TIMEOUT) for item in cluster.daemons.values()]
     expect(codes == [0, 0, 0], "all daemons drained and exited with 0")
 
 
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -1,4 +1,4 @@
-"""The run over all regression sites, against a stand-in of the users' bench."""
+"""Tests of the run over all regression sites, with a stand-in of the users' bench."""
 
 import json
 
@@ -7,7 +7,7 @@
 from bench import gates
 from bench.gates import Gates, SitesError, load_sites, main, table
 
-# Writes an entry as the bench does, or none, as the site file's name says.
+# Writes a journal entry like the bench; exits without one for the site "gone".
 STAND_IN = """#!/usr/bin/env python3
 import json, pathlib, sys
 site = pathlib.Path(sys.argv[2]).stem
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def make_options(tmp_path, monkeypatch):
-    """Options of a run over some sites, with a journal and a bench of its own."""
+    """Return a function that makes options of a run with its own journal and bench."""
 
     def make(*names):
         journal = tmp_path / "journal"
@@ -67,10 +67,10 @@
 
 
 def test_a_failed_gate_and_a_site_without_a_result_are_told(make_options, capsys):
-    """Symptom: a table shows the sites that went well and hides the others.
+    """Guards against a table that omits sites without a result.
 
-    Sequence: the bench gives up on one site, another fails its gate. Cause: what left
-    no entry in the journal would be passed over.
+    The bench gives up on one site, which then has no entry in the journal, and another
+    one fails its gate. Both have to be in the table.
     """
     assert main(make_options("good", "bad", "gone")) == 1
     lines = capsys.readouterr().out.splitlines()
