--- a/tests/fakes/group.py
+++ b/tests/fakes/group.py
@@ -109,7 +109,7 @@
         shared = shared_length(member, entries)
         if shared == len(entries):
             return
-        member.cut_to(shared)
+        member.truncate(shared)
         member.log.extend(entries[shared:])
         self.clock.after(server.apply_lag, self.apply, name, len(member.log))
 
--- a/tests/standins/grouplog.py
+++ b/tests/standins/grouplog.py
@@ -100,7 +100,7 @@
             shared += 1
         return shared
 
-    def cut_to(self, length):
+    def truncate(self, length):
         """Discard a divergent tail; the state is rebuilt from what stays."""
         if length >= len(self.log):
             return
--- a/tests/standins/upstream.py
+++ b/tests/standins/upstream.py
@@ -132,7 +132,7 @@
     async def take_line(self, line, source):
         """Receive entries after the shipping lag, apply them after the other."""
         if line["from"] is not None:
-            self.member.cut_to(line["from"])
+            self.member.truncate(line["from"])
         for data in line["entries"]:
             self.arrived.append((time.monotonic(), line["term"], source, unpack(data)))
 
--- a/tests/test_found_failures.py
+++ b/tests/test_found_failures.py
@@ -186,7 +186,7 @@
     for name in ("grid-u1", "grid-u3"):
         member = group.member(name)
         member.follow(2, "grid-u2", group.clock.now)
-        member.cut_to(member.common_prefix([entry.term for entry in new.log]))
+        member.truncate(member.common_prefix([entry.term for entry in new.log]))
         member.log.extend(new.log[len(member.log) :])
     group.promoted.append((group.clock.now, 2, "grid-u2"))
 
