--- a/tests/standins/grouplog.py
+++ b/tests/standins/grouplog.py
@@ -1,7 +1,7 @@
 """The log of a group member: terms, positions, following, truncation.
 
-The rules of a database group as docs/assumptions.md states them, without a network
-or a database. The stand-in upstream and the fakes in virtual time share them.
+Implements the rules of a database group in docs/assumptions.md, without a network or a
+database, for the stand-in upstream and the fakes in virtual time.
 """
 
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 
 class LogMember:
-    """One member of a group; subclasses keep the state that the log builds."""
+    """A member of a group; subclasses keep the state that the log is applied to."""
 
     def __init__(self, *, name, primary, now=0.0):
         self.name = name
@@ -31,15 +31,15 @@
         self.reset_state()
 
     def reset_state(self):
-        """Forget everything that entries built."""
+        """Discard the applied state."""
         raise NotImplementedError
 
     def apply_entry(self, entry):
-        """Make one entry visible."""
+        """Apply one entry to the state."""
         raise NotImplementedError
 
     def claim_holder(self):
-        """Who holds the claim, as this member's state shows it."""
+        """Return the holder of the claim in the applied state."""
         raise NotImplementedError
 
     @property
@@ -48,18 +48,18 @@
         return self.log[-1].term if self.log else 1
 
     def heard_ms(self, now):
-        """Milliseconds since a replica heard its source, -1 at a primary."""
+        """Return milliseconds since the source's last message, or -1 at a primary."""
         return -1.0 if self.primary else (now - self.heard_at) * 1000
 
     def take_discarded(self):
-        """How many entries the last follow cut off; told once."""
+        """Return and reset the number of entries that the last follow discarded."""
         discarded, self.discarded = self.discarded, 0
         return discarded
 
-    # Group verbs
+    # Group commands
 
     def fence(self, term):
-        """Promise a strictly higher term; an older primary stops."""
+        """Promise a strictly higher term; a primary of an older term steps down."""
         if term <= self.promised:
             return
         self.promised = term
@@ -67,7 +67,7 @@
         self.follows = ""
 
     def promote(self, term):
-        """Lead the promised term; its first entry marks it in the log."""
+        """Become primary of the promised term and append its first, empty entry."""
         if term != self.promised or self.primary:
             return
         self.apply_to(len(self.log))
@@ -87,21 +87,21 @@
     # Log
 
     def append(self, entry):
-        """The primary adds an entry that its state shows already."""
+        """Append an entry that is already applied at the primary."""
         self.log.append(entry)
         self.applied = len(self.log)
 
     def common_prefix(self, terms):
-        """How many entries a log with these terms shares with ours."""
+        """Return how many leading entries this log shares with one of these terms."""
         shared = 0
-        for mine, theirs in zip(self.log, terms, strict=False):
-            if mine.term != theirs:
+        for own, other in zip(self.log, terms, strict=False):
+            if own.term != other:
                 break
             shared += 1
         return shared
 
     def truncate(self, length):
-        """Discard a divergent tail; the state is rebuilt from what stays."""
+        """Discard a divergent tail and rebuild the state from the remaining log."""
         if length >= len(self.log):
             return
         self.discarded = len(self.log) - length
@@ -112,7 +112,7 @@
             self.apply_to(length)
 
     def apply_to(self, length):
-        """Make entries visible."""
+        """Apply the entries up to a length."""
         for entry in self.log[self.applied : length]:
             self.apply_entry(entry)
         self.applied = max(self.applied, length)
--- a/tests/standins/sqlmember.py
+++ b/tests/standins/sqlmember.py
@@ -1,4 +1,4 @@
-"""A group member with a sqlite database that its log builds."""
+"""A group member whose log is applied to a sqlite database."""
 
 import sqlite3
 import time
@@ -22,7 +22,7 @@
 
 
 class MemberError(Exception):
-    """A refusal with its MySQL error code."""
+    """An error with its MySQL error code."""
 
     def __init__(self, code, text):
         super().__init__(text)
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Executed:
+class ExecutedStatement:
     """One statement of a transaction and how many rows it changed."""
 
     sql: str
@@ -39,14 +39,14 @@
 
 @dataclass
 class Transaction:
-    """An open transaction: a private snapshot and what ran on it."""
+    """An open transaction: a private snapshot and its statements."""
 
     base: sqlite3.Connection
     statements: list = field(default_factory=list)
 
 
 def run_sql(conn, sql):
-    """Run SQL; sqlite's errors come as MySQL's."""
+    """Run SQL; sqlite's errors are raised as MySQL errors."""
     try:
         return conn.execute(sql)
     except sqlite3.IntegrityError as exc:
@@ -63,7 +63,7 @@
         super().__init__(name=name, primary=primary, now=time.monotonic())
 
     def reset_state(self):
-        """An empty database with the schema."""
+        """Create an empty database with the schema."""
         self.db = sqlite3.connect(":memory:", isolation_level=None)
         self.db.executescript(SCHEMA + self.schema)
 
@@ -77,7 +77,7 @@
         return self.db.execute("SELECT holder FROM gypsum_claim").fetchone()[0]
 
     def status_row(self):
-        """The row that answers every group verb."""
+        """Return the status row of group commands."""
         return (
             self.name,
             int(self.primary),
@@ -97,22 +97,21 @@
         base.deserialize(self.db.serialize())
         return Transaction(base=base)
 
-    def run_in(self, tx, sql):
+    def run_in_transaction(self, tx, sql):
         """Run a statement inside a transaction.
 
-        A statement that looks at the claim sees its newest state, as a locking
-        read does.
+        A statement that reads the claim sees its newest state, like a locking read.
         """
         if "gypsum_claim" in sql:
             holder = self.claim_holder()
             tx.base.execute("UPDATE gypsum_claim SET holder = ?", (holder,))
         cursor = run_sql(tx.base, sql)
         if cursor.description is None:
-            tx.statements.append(Executed(sql=sql, affected=cursor.rowcount))
+            tx.statements.append(ExecutedStatement(sql=sql, affected=cursor.rowcount))
         return cursor
 
     def commit(self, tx):
-        """Replay a transaction on the newest state, or fail as a deadlock does."""
+        """Replay a transaction on the newest state; a conflict raises a deadlock."""
         if not tx.statements:
             return
         if not self.primary:
--- a/tests/standins/upstream.py
+++ b/tests/standins/upstream.py
@@ -1,12 +1,13 @@
-"""A stand-in upstream: MySQL wire protocol over sqlite, with log shipping.
+"""A stand-in upstream: the MySQL protocol on sqlite, with log shipping.
 
 Run it as `python -m tests.standins.upstream CONFIG.json`; it prints
 `ready SQL-PORT SHIP-PORT`. The file holds `{id, primary, follows, schema}` and lags;
-`CALL test_ship('ID', PORT)` tells it where another member ships its log from. Test
+`CALL test_ship('ID', PORT)` sets the port from which another member ships its log. Test
 switches are statements: `CALL test_lag(SHIP_MS, APPLY_MS)`,
 `CALL test_cut('ID', 0 or 1)` cuts shipping from a member, `CALL test_mute()` makes
-all open connections silent for good. A statement with `/* sleep=MS */` takes that
-long; one with `/* lose */` in a transaction makes its COMMIT take effect unanswered.
+all open connections permanently silent. A statement with `/* sleep=MS */` takes that
+long; after one with `/* lose */` in a transaction, the COMMIT takes effect but gets no
+response.
 """
 
 import asyncio
@@ -21,15 +22,15 @@
 from mysql_mimic.errors import MysqlError
 
 from tests.standins.grouplog import Entry
-from tests.standins.sqlmember import Executed, MemberError, SqlMember, run_sql
+from tests.standins.sqlmember import ExecutedStatement, MemberError, SqlMember, run_sql
 
-HEARTBEAT = 0.05
-RECONNECT = 0.1
+HEARTBEAT_INTERVAL = 0.05
+RECONNECT_DELAY = 0.1
 CALL = re.compile(r"CALL (\w+)\((.*)\)$")
 SLEEP = re.compile(r"/\* sleep=(\d+) \*/")
 LITERAL = re.compile(r"'((?:[^'\\]|\\.|'')*)'", re.DOTALL)
 ESCAPES = {"n": "\n", "r": "\r", "0": "\0", "Z": "\x1a", "t": "\t"}
-SHIP_LIMIT = 1 << 26
+MAX_LINE_BYTES = 1 << 26
 
 
 def translate(sql):
@@ -45,79 +46,81 @@
 
 
 class Upstream:
-    """One member as a process: SQL sessions, shipping, faults."""
+    """A group member as a process: SQL sessions, log shipping, faults."""
 
-    def __init__(self, cfg):
+    def __init__(self, config):
         self.member = SqlMember(
-            name=cfg["id"], schema=cfg.get("schema", ""), primary=cfg["primary"]
+            name=config["id"],
+            schema=config.get("schema", ""),
+            primary=config["primary"],
         )
-        self.member.follows = cfg.get("follows", "")
+        self.member.follows = config.get("follows", "")
         self.ship_ports = {}
-        self.ship_lag = cfg.get("ship_lag_ms", 0) / 1000
-        self.apply_lag = cfg.get("apply_lag_ms", 0) / 1000
-        self.cut = set()
+        self.shipping_lag = config.get("ship_lag_ms", 0) / 1000
+        self.apply_lag = config.get("apply_lag_ms", 0) / 1000
+        self.cut_sources = set()
         self.sessions = set()
-        self.arrived = []
+        self.received_entries = []
 
     # Shipping
 
     async def serve_follower(self, reader, writer):
-        """Send the log to a follower, then whatever is added, with heartbeats."""
+        """Send the log to a follower, then new entries and heartbeats."""
         try:
-            hello = json.loads(await reader.readline())
+            handshake = json.loads(await reader.readline())
             member = self.member
-            if not member.primary or hello["id"] in self.cut:
+            if not member.primary or handshake["id"] in self.cut_sources:
                 return
-            sent = member.common_prefix(hello["terms"])
+            sent = member.common_prefix(handshake["terms"])
             first = True
-            while member.primary and hello["id"] not in self.cut:
+            while member.primary and handshake["id"] not in self.cut_sources:
                 entries = member.log[sent:]
                 sent += len(entries)
                 line = {
                     "term": member.promised,
                     "from": sent - len(entries) if first else None,
-                    "entries": [pack(entry) for entry in entries],
+                    "entries": [encode_entry(entry) for entry in entries],
                 }
                 first = False
                 writer.write(json.dumps(line).encode() + b"\n")
                 await writer.drain()
                 await asyncio.sleep(0.001 if entries else 0.002)
                 if not entries:
-                    await self.wait_for_more(sent)
+                    await self.wait_for_entries(sent)
         except (OSError, ValueError):
             pass
         finally:
             writer.close()
 
-    async def wait_for_more(self, sent):
-        """Wait for new entries, at most a heartbeat long."""
-        end = time.monotonic() + HEARTBEAT
+    async def wait_for_entries(self, sent):
+        """Wait for new entries, at most one heartbeat interval."""
+        end = time.monotonic() + HEARTBEAT_INTERVAL
         while len(self.member.log) <= sent and time.monotonic() < end:
             await asyncio.sleep(0.002)
 
-    async def follow_primary(self):
-        """Keep following whoever we were told to follow."""
+    async def replicate(self):
+        """Keep replicating from the configured source."""
         while True:
             source = self.member.follows
-            if source in self.ship_ports and source not in self.cut:
+            if source in self.ship_ports and source not in self.cut_sources:
                 try:
-                    await self.follow_once(source)
+                    await self.replicate_from(source)
                 except (OSError, ValueError, asyncio.IncompleteReadError):
                     pass
-            await asyncio.sleep(RECONNECT)
+            await asyncio.sleep(RECONNECT_DELAY)
 
-    async def follow_once(self, source):
-        """Follow one primary until the connection ends or the term changes."""
+    async def replicate_from(self, source):
+        """Replicate from a primary until the connection ends or the term changes."""
         member = self.member
         reader, writer = await asyncio.open_connection(
-            "127.0.0.1", self.ship_ports[source], limit=SHIP_LIMIT
+            "127.0.0.1", self.ship_ports[source], limit=MAX_LINE_BYTES
         )
         try:
             terms = [entry.term for entry in member.log]
-            hello = {"id": member.name, "terms": terms}
-            writer.write(json.dumps(hello).encode() + b"\n")
-            while member.follows == source and source not in self.cut:
-                raw = await asyncio.wait_for(reader.readline(), 10 * HEARTBEAT)
+            handshake = {"id": member.name, "terms": terms}
+            writer.write(json.dumps(handshake).encode() + b"\n")
+            while member.follows == source and source not in self.cut_sources:
+                raw = await asyncio.wait_for(reader.readline(), 10 * HEARTBEAT_INTERVAL)
                 if not raw:
                     return
                 line = json.loads(raw)
@@ -125,30 +128,35 @@
                     return
                 member.promised = max(member.promised, line["term"])
                 member.heard_at = time.monotonic()
-                await self.take_line(line, source)
+                await self.receive_line(line, source)
         finally:
             writer.close()
 
-    async def take_line(self, line, source):
-        """Receive entries after the shipping lag, apply them after the other."""
+    async def receive_line(self, line, source):
+        """Queue received entries; a first line truncates a divergent log."""
         if line["from"] is not None:
             self.member.truncate(line["from"])
         for data in line["entries"]:
-            self.arrived.append((time.monotonic(), line["term"], source, unpack(data)))
+            self.received_entries.append(
+                (time.monotonic(), line["term"], source, decode_entry(data))
+            )
 
-    async def take_arrived(self):
-        """Move entries into the log, then into the database, each after its lag."""
+    async def apply_received(self):
+        """Append entries after the shipping lag and apply them after the apply lag."""
         received = []
         while True:
             now = time.monotonic()
             member = self.member
-            while self.arrived and now - self.arrived[0][0] >= self.ship_lag:
-                _, term, source, entry = self.arrived.pop(0)
+            while (
+                self.received_entries
+                and now - self.received_entries[0][0] >= self.shipping_lag
+            ):
+                _, term, source, entry = self.received_entries.pop(0)
                 if term == member.promised and member.follows == source:
                     member.log.append(entry)
                     received.append((now, len(member.log)))
             if not member.follows:
-                self.arrived.clear()
+                self.received_entries.clear()
                 received.clear()
             while received and now - received[0][0] >= self.apply_lag:
                 _, length = received.pop(0)
@@ -156,10 +164,10 @@
                     member.apply_to(length)
             await asyncio.sleep(0.002)
 
-    # Group verbs and test switches
+    # Group commands and test switches
 
     def call(self, name, args):
-        """A stored procedure: group verbs answer with the status row."""
+        """Run a stored procedure: group commands return the status row."""
         member = self.member
         if name == "gypsum_fence":
             member.fence(int(args[0]))
@@ -168,15 +176,17 @@
         elif name == "gypsum_follow":
             member.follow(int(args[0]), args[1], time.monotonic())
         elif name == "test_lag":
-            self.ship_lag = float(args[0]) / 1000
+            self.shipping_lag = float(args[0]) / 1000
             self.apply_lag = float(args[1]) / 1000
         elif name == "test_cut":
-            (self.cut.add if args[1] == "1" else self.cut.discard)(args[0])
+            (self.cut_sources.add if args[1] == "1" else self.cut_sources.discard)(
+                args[0]
+            )
         elif name == "test_ship":
             self.ship_ports[args[0]] = int(args[1])
         elif name == "test_mute":
             for session in self.sessions:
-                session.mute = True
+                session.muted = True
         elif name != "gypsum_status":
             raise MysqlError(f"no procedure {name}", code=1305)
         columns = "id primary promised log_term received applied claim follows heard"
@@ -191,7 +201,7 @@
         self.upstream = upstream
         self.tx = None
         self.killed = False
-        self.mute = False
+        self.muted = False
         self.lose_commit = False
         self.read_only = False
         self.affected = 0
@@ -199,7 +209,7 @@
         upstream.sessions.add(self)
 
     async def init(self, connection):
-        """Make OK packets carry the number of changed rows."""
+        """Include the number of changed rows in OK packets."""
         await super().init(connection)
         plain_ok = connection.ok
 
@@ -211,7 +221,7 @@
         connection.ok = ok
 
     async def close(self):
-        """The client went away: what it left open is rolled back."""
+        """Roll back the open transaction of a disconnected client."""
         self.tx = None
         self.upstream.sessions.discard(self)
         await super().close()
@@ -220,7 +230,7 @@
         """Run one statement."""
         sql = sql.strip().rstrip(";")
         self.affected = self.last_id = 0
-        if self.mute:
+        if self.muted:
             await asyncio.Event().wait()
         pause = SLEEP.search(sql)
         if pause:
@@ -238,7 +248,7 @@
         return answer
 
     def run(self, sql):
-        """Run one statement now."""
+        """Run a statement without delay."""
         word = sql.split(None, 1)[0].upper()
         if word == "CALL":
             name, args = CALL.match(sql).groups()
@@ -261,24 +271,24 @@
         return self.run_statement(translate(sql), word)
 
     def run_statement(self, sql, word):
-        """Run a read on the newest state, a write in its own transaction."""
+        """Run a read on the newest state, or a write in its own transaction."""
         member = self.upstream.member
         if word not in ("SELECT", "WITH", "VALUES") and self.read_only:
             raise MemberError(1792, "the transaction is read only")
         if self.tx:
-            cursor = member.run_in(self.tx, sql)
+            cursor = member.run_in_transaction(self.tx, sql)
         elif word in ("SELECT", "WITH", "VALUES"):
             cursor = run_sql(member.db, sql)
         else:
             tx = member.begin()
-            cursor = member.run_in(tx, sql)
+            cursor = member.run_in_transaction(tx, sql)
             member.commit(tx)
         if cursor.description is None:
             return self.changed(cursor)
         return cursor.fetchall(), [item[0] for item in cursor.description]
 
     def changed(self, cursor):
-        """Tell how many rows a statement changed."""
+        """Record the number of rows that a statement changed."""
         self.affected = max(0, cursor.rowcount)
         self.last_id = cursor.lastrowid or 0
         return [], []
@@ -292,29 +302,29 @@
         return [], []
 
 
-def pack(entry):
-    """An entry as JSON."""
+def encode_entry(entry):
+    """Encode an entry for JSON."""
     return [entry.term, [[item.sql, item.affected] for item in entry.content]]
 
 
-def unpack(data):
-    """An entry from JSON."""
-    statements = [Executed(sql=sql, affected=count) for sql, count in data[1]]
+def decode_entry(data):
+    """Decode an entry from JSON."""
+    statements = [ExecutedStatement(sql=sql, affected=count) for sql, count in data[1]]
     return Entry(term=data[0], content=statements)
 
 
 async def main(path):
     """Serve until killed."""
-    cfg = json.loads(Path(path).read_text())
-    upstream = Upstream(cfg)
+    config = json.loads(Path(path).read_text())
+    upstream = Upstream(config)
     server = MysqlServer(session_factory=lambda: UpstreamSession(upstream))
     await server.start_server(host="127.0.0.1", port=0)
     ship = await asyncio.start_server(
-        upstream.serve_follower, "127.0.0.1", 0, limit=SHIP_LIMIT
+        upstream.serve_follower, "127.0.0.1", 0, limit=MAX_LINE_BYTES
     )
     sql_port = server.sockets()[0].getsockname()[1]
     print(f"ready {sql_port} {ship.sockets[0].getsockname()[1]}", flush=True)
-    await asyncio.gather(upstream.follow_primary(), upstream.take_arrived())
+    await asyncio.gather(upstream.replicate(), upstream.apply_received())
 
 
 if __name__ == "__main__":
