--- a/packages/core/gypsum_core/homeboard.py
+++ b/packages/core/gypsum_core/homereport.py
@@ -1,11 +1,11 @@
-"""What an operator sees of a home."""
+"""A home's state, as metrics and operators' pages show it."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class UpstreamBoard:
-    """One upstream as its home sees it; `lag_ms` is -1 when unproved."""
+class UpstreamReport:
+    """State of an upstream as seen by its home; `lag_ms` is -1 if not proven."""
 
     id: str
     primary: bool
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HomeBoard:
-    """One database as its home sees it."""
+class HomeReport:
+    """State of a database as seen by its home."""
 
     database: str
     version: int
@@ -41,13 +41,13 @@
     why_primary: dict[str, int]
     refusals: dict[str, int]
     promotions: int
-    upstreams: tuple[UpstreamBoard, ...]
+    upstreams: tuple[UpstreamReport, ...]
 
 
 def describe_home(home):
-    """Describe a home and its upstreams."""
-    counts = home.reads.counts
-    return HomeBoard(
+    """Return the state of a home and its upstreams."""
+    counts = home.read_placer.counts
+    return HomeReport(
         database=home.spec.name,
         version=home.spec.version,
         rank=home.rank,
@@ -57,10 +57,10 @@
         claimed=home.claim.held,
         phase=home.failover.phase.value,
         vetoed=home.failover.vetoed,
-        queued_replica=len(home.replica_queue) + len(home.held),
-        queued_primary=len(home.primary_queue) + len(home.urgent),
-        awaiting=len(home.awaiting),
-        unconfirmed=len(home.writes.unconfirmed),
+        queued_replica=len(home.replica_queue) + len(home.deferred_reads),
+        queued_primary=len(home.primary_queue) + len(home.transaction_jobs),
+        awaiting=len(home.waiting_reads),
+        unconfirmed=len(home.unconfirmed_writes.jobs),
         transactions=len(home.transactions),
         reads_replica=counts.replica,
         reads_primary=counts.primary,
@@ -72,19 +72,19 @@
 
 
 def describe_upstream(home, name):
-    """Describe one upstream."""
+    """Return the state of one upstream."""
     status = home.view.status(name)
-    lane = home.lanes[name]
+    load = home.loads[name]
     as_of = home.view.as_of(name)
     proved = as_of > float("-inf")
-    return UpstreamBoard(
+    return UpstreamReport(
         id=name,
         primary=name == home.view.primary,
         promised=status.promised if status else 0,
         received=status.received if status else 0,
         applied=status.applied if status else 0,
         lag_ms=round((home.ctx.now - as_of) * 1000, 1) if proved else -1.0,
-        running=lane.running,
-        slots=lane.slots,
-        silent=home.failover.suspicious(name),
+        running=load.running,
+        slots=load.slots,
+        silent=home.failover.is_unresponsive(name),
     )
--- a/packages/core/gypsum_core/jobs.py
+++ b/packages/core/gypsum_core/jobs.py
@@ -1,4 +1,4 @@
-"""Requests and operations while a home works on them."""
+"""Jobs (requests at a home) and the upstream operations that run them."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,23 +9,23 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Job:
-    """One request at its home.
+    """A request at its home.
 
-    `origin` is the daemon to answer. `maybe_run` says that an attempt may have
-    taken effect, so that "not run" needs proof. `closed` says that the final
-    answer is out and whatever comes later is dropped.
+    `origin` is the daemon to answer. If `may_have_run`, an attempt may have taken
+    effect, and "not run" may be answered only with proof. Once `closed`, the final
+    answer was sent and later responses are dropped.
     """
 
     request: Request
     origin: str
     kind: KindSpec
     arrived: float
-    maybe_run: bool = False
+    may_have_run: bool = False
     attempts: int = 0
     closed: bool = False
     settling: bool = False
-    waited_replica: bool = False
-    why_primary: Reason | None = None
+    waited_for_replica: bool = False
+    primary_reason: Reason | None = None
     result: Result | None = None
     position: Position | None = None
     served_by: str = ""
@@ -36,24 +36,24 @@
 
     @property
     def caller(self):
-        """Whose writes the next read of this caller must show."""
+        """The key of this caller in the table of recent writers."""
         return (self.request.member, self.request.caller)
 
     @property
     def is_read(self):
-        """Tell whether a replica may serve it."""
+        """Whether a replica may serve it."""
         return self.request.verb is Verb.QUERY and self.kind.mode is Mode.READ
 
     @property
-    def writes(self):
-        """Tell whether it leaves a ledger row."""
+    def is_write(self):
+        """Whether it inserts a ledger row."""
         if self.request.verb is Verb.COMMIT:
             return True
         return self.request.verb is Verb.QUERY and self.kind.mode is Mode.WRITE
 
 
-class Work(StrEnum):
-    """What an upstream operation is for."""
+class OperationKind(StrEnum):
+    """Purpose of an upstream operation."""
 
     PROBE = "probe"
     ASKED_PROBE = "asked_probe"
@@ -69,39 +69,40 @@
     TX_COMMIT = "commit"
 
 
-SLOTTED = frozenset(
+SLOT_OPERATIONS = frozenset(
     {
-        Work.READ,
-        Work.WRITE,
-        Work.SETTLE,
-        Work.TX_BEGIN,
-        Work.TX_RUN,
-        Work.TX_COMMIT,
+        OperationKind.READ,
+        OperationKind.WRITE,
+        OperationKind.SETTLE,
+        OperationKind.TX_BEGIN,
+        OperationKind.TX_RUN,
+        OperationKind.TX_COMMIT,
     }
 )
 
-LASTING = frozenset({Work.WRITE, Work.TX_COMMIT})
+WRITE_OPERATIONS = frozenset({OperationKind.WRITE, OperationKind.TX_COMMIT})
 
 
 @dataclass(slots=True, kw_only=True)
 class Operation:
-    """An upstream action in flight.
+    """A pending upstream action.
 
-    `as_of` is the time from which a read's age counts, `floor` the position that it
-    was proved to show and that its caller's token will carry; a caller who came
-    without a token need not be vouched for again. `maybe_run_before` is what
-    the job's `maybe_run` returns to when this attempt provably did nothing.
+    `as_of` is the time from which a read's age counts. `floor` is the position that
+    the read is proven to reflect; it goes into the caller's session token, so that
+    a caller without a token needs no lookup of recent writes next time. The job's
+    `may_have_run` is reset to `may_have_run_before` if this attempt provably had no
+    effect.
     """
 
     op: int
-    work: Work
+    kind: OperationKind
     upstream: str
     sent_at: float
     term: int
     job: Job | None = None
     as_of: float = 0.0
     floor: Position | None = None
-    asker: str = ""
+    requester: str = ""
     nonce: int = 0
     fresh: bool = False
-    maybe_run_before: bool = False
+    may_have_run_before: bool = False
--- a/packages/daemon/gypsum_daemon/callers.py
+++ b/packages/daemon/gypsum_daemon/callers.py
@@ -154,14 +154,14 @@
             )
         kind = fields.get("kind", "")
         return Request(
-            id=self.context.shell.node.ctx.token(),
+            id=self.context.shell.node.ctx.random_token(),
             verb=verb,
             database=database,
             member=member,
             deadline=time.monotonic() + self.deadline_ms(database, kind) / 1000,
             caller=self.request.headers.get(CALLER_HEADER, ""),
             session=self.session_position(database, member),
-            key=key or self.context.shell.node.ctx.token(),
+            key=key or self.context.shell.node.ctx.random_token(),
             keyed=bool(key),
             **fields,
         )
--- a/packages/daemon/gypsum_daemon/feed.py
+++ b/packages/daemon/gypsum_daemon/feed.py
@@ -5,7 +5,7 @@
 
 from tornado.httpclient import HTTPClientError
 
-from gypsum_core.events import InstancesListed
+from gypsum_core.events import InstancesReceived
 from gypsum_core.messages import ManifestEntry
 from gypsum_core.spec import Instance, InstanceRole
 from gypsum_daemon import logs
@@ -35,7 +35,7 @@
     def start(self):
         """Start watching; the seeds are used until the instance list is loaded."""
         if self.settings.seeds:
-            self.shell.handle_event(InstancesListed(instances=self.seed_instances()))
+            self.shell.handle_event(InstancesReceived(instances=self.seed_instances()))
         self.shell.record_status = self.record_status
         for watch in (self.poll_instances, self.watch_manifests):
             self.spawn(watch())
@@ -77,7 +77,7 @@
         would send more than the platform can answer.
         """
         while True:
-            if self.shell.node.reads_list():
+            if self.shell.node.should_poll_instances():
                 await self.read_instances()
             await asyncio.sleep(self.settings.instance_poll_s)
 
@@ -89,7 +89,7 @@
             logs.write(PART, f"cannot read the instance list: {exc}")
             return
         self.shell.handle_event(
-            InstancesListed(instances=listing.instances, revision=listing.revision)
+            InstancesReceived(instances=listing.instances, revision=listing.revision)
         )
 
     async def watch_manifests(self):
@@ -110,7 +110,7 @@
             listing = await self.client.list_objects(DATABASES)
             self.apply_listing(listing, complete=True)
             self.loaded = True
-        elif self.shell.node.manifests.watches():
+        elif self.shell.node.manifests.is_watcher():
             listing = await self.client.watch(
                 DATABASES, since=self.revision, wait=WATCH_TIMEOUT
             )
--- a/packages/daemon/gypsum_daemon/shell.py
+++ b/packages/daemon/gypsum_daemon/shell.py
@@ -10,10 +10,10 @@
 from gypsum_core import actions
 from gypsum_core.events import (
     AcceptedManifest,
-    CallerGone,
+    CallerDisconnected,
     CallerRequest,
-    DrainAsked,
-    ManifestsSeen,
+    DrainRequested,
+    ManifestsReceived,
     PeerLost,
     PeerMessage,
     TimerFired,
@@ -69,7 +69,7 @@
             actions.Reply: self.reply,
             actions.SetTimer: self.set_timer,
             actions.Log: self.log,
-            actions.Warm: self.executor.warm,
+            actions.SetPoolSize: self.executor.warm,
             actions.DropConnections: self.executor.drop_connections,
             actions.DropLink: self.drop_link,
             actions.RecordStatus: self.record_leader_status,
@@ -108,7 +108,9 @@
                     "manifest", f"{entry.database}: invalid manifest ignored: {exc}"
                 )
         self.handle_event(
-            ManifestsSeen(manifests=tuple(checked), source=source, complete=complete)
+            ManifestsReceived(
+                manifests=tuple(checked), source=source, complete=complete
+            )
         )
 
     def link_lost(self, peer):
@@ -125,11 +127,11 @@
     def caller_disconnected(self, request_id):
         """Cancel the request of a caller that closed its connection."""
         if self.pending.pop(request_id, None) is not None:
-            self.handle_event(CallerGone(request=request_id))
+            self.handle_event(CallerDisconnected(request=request_id))
 
     def drain(self):
         """Start the graceful shutdown."""
-        self.handle_event(DrainAsked())
+        self.handle_event(DrainRequested())
 
     # Actions
 
--- a/packages/upstream/gypsum_upstream/executor.py
+++ b/packages/upstream/gypsum_upstream/executor.py
@@ -8,7 +8,13 @@
 import asyncmy
 
 from gypsum_core import actions
-from gypsum_core.events import Failed, Ran, Settled, StatusKnown, UpstreamEvent
+from gypsum_core.events import (
+    Failed,
+    Settled,
+    StatementCompleted,
+    StatusReceived,
+    UpstreamEvent,
+)
 from gypsum_core.records import Reason, Result
 from gypsum_upstream import dialect, ledger
 from gypsum_upstream.dialect import ErrorClass, classify_error, describe_error
@@ -229,7 +235,7 @@
             pool.close_connection(pooled)
             raise
         pool.release(pooled)
-        return Ran(op=action.op, database=action.database, result=result)
+        return StatementCompleted(op=action.op, database=action.database, result=result)
 
     async def run_statement(self, conn, statement):
         """Run a caller's statement; refuse a result with more than `max_rows` rows."""
@@ -256,7 +262,7 @@
             await self.release_after_error(pool, pooled, exc, action)
             raise
         pool.release(pooled)
-        return Ran(
+        return StatementCompleted(
             op=action.op, database=action.database, result=result, position=position
         )
 
@@ -326,13 +332,15 @@
             pool.close_connection(pooled)
             raise
         self.transactions[action.tx] = OpenTransaction(pool=pool, pooled=pooled)
-        return Ran(op=action.op, database=action.database, result=Result())
+        return StatementCompleted(
+            op=action.op, database=action.database, result=Result()
+        )
 
     async def tx_run(self, action, progress):
         """Run one statement of a transaction."""
         conn = self.transactions[action.tx].pooled.conn
         result = await self.run_statement(conn, action.statement)
-        return Ran(op=action.op, database=action.database, result=result)
+        return StatementCompleted(op=action.op, database=action.database, result=result)
 
     async def tx_commit(self, action, progress):
         """Insert the ledger row and commit."""
@@ -348,7 +356,7 @@
             result = Result()
         del self.transactions[action.tx]
         open_tx.pool.release(open_tx.pooled)
-        return Ran(
+        return StatementCompleted(
             op=action.op, database=action.database, result=result, position=position
         )
 
@@ -404,4 +412,4 @@
 
 def status_event(action, status):
     """Return the event for an upstream's status."""
-    return StatusKnown(op=action.op, database=action.database, status=status)
+    return StatusReceived(op=action.op, database=action.database, status=status)
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -4,7 +4,7 @@
 
 from gypsum_core.records import Mode, Outcome, Statement, Verb
 from tests.fakes.world import get, put
-from tests.invariants import done
+from tests.invariants import is_done
 
 THINK_TIME = 0.04
 DEADLINE = 1.5
@@ -85,7 +85,7 @@
 
     def try_write(self, key):
         """Send a write with its key."""
-        self.checker.trying(self.cell, self.value)
+        self.checker.write_attempted(self.cell, self.value)
         self.send(
             lambda answer: self.handle_write_answer(answer, key),
             key=key,
@@ -95,10 +95,10 @@
     def handle_write_answer(self, answer, key):
         """Record a write's outcome, or query it if it is unknown."""
         self.answers.append((self.world.clock.now, answer))
-        if done(answer):
+        if is_done(answer):
             self.record_write(answer)
         elif answer.outcome is Outcome.NOT_RUN:
-            self.checker.refused(self.cell, self.value)
+            self.checker.write_not_run(self.cell, self.value)
             if self.rng.random() < 0.5:
                 self.world.clock.after(THINK_TIME, self.try_write, key)
                 return
@@ -108,7 +108,7 @@
 
     def record_write(self, answer):
         """Record a confirmed write."""
-        self.checker.wrote(self.cell, self.value)
+        self.checker.write_acknowledged(self.cell, self.value)
         self.own[self.cell] = self.value
         self.session = answer.position
         self.schedule_next(0.0)
@@ -145,10 +145,10 @@
     def handle_read_answer(self, answer, cells, tag, kind, own, sent_at):
         """Check the answer to a read."""
         self.answers.append((self.world.clock.now, answer))
-        if done(answer):
+        if is_done(answer):
             kinds = self.world.platform.specs["grid"].kind_by_name
             assert kinds[kind].mode is Mode.READ
-            self.checker.read(
+            self.checker.check_read(
                 caller=self.name,
                 asked=answer.request,
                 result=answer.result,
@@ -169,7 +169,7 @@
 
     def handle_begin_answer(self, answer):
         """Set the first cell if the transaction is open."""
-        if not done(answer):
+        if not is_done(answer):
             self.schedule_next()
             return
         self.set_cell(answer.tx, "x")
@@ -188,9 +188,9 @@
 
     def handle_set_answer(self, answer, tx, part):
         """Set the second cell, commit, or roll back after a failure."""
-        if not done(answer):
-            self.checker.refused(f"{self.name}.x", self.tx_value)
-            self.checker.refused(f"{self.name}.y", self.tx_value)
+        if not is_done(answer):
+            self.checker.write_not_run(f"{self.name}.x", self.tx_value)
+            self.checker.write_not_run(f"{self.name}.y", self.tx_value)
             self.send(lambda _: self.schedule_next(), verb=Verb.ROLLBACK, tx=tx)
             return
         if part == "x":
@@ -206,15 +206,15 @@
 
     def handle_commit_answer(self, answer):
         """Record a commit's outcome, or query it if it is unknown."""
-        if done(answer):
+        if is_done(answer):
             for part in "xy":
-                self.checker.wrote(f"{self.name}.{part}", self.tx_value)
+                self.checker.write_acknowledged(f"{self.name}.{part}", self.tx_value)
                 self.own[f"{self.name}.{part}"] = self.tx_value
             self.session = answer.position
             self.schedule_next(0.0)
         elif answer.outcome is Outcome.NOT_RUN:
             for part in "xy":
-                self.checker.refused(f"{self.name}.{part}", self.tx_value)
+                self.checker.write_not_run(f"{self.name}.{part}", self.tx_value)
             self.schedule_next()
         else:
             key = f"{self.name}-tx-{self.tx_value}"
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from gypsum_core.events import AcceptedManifest, InstancesListed, ManifestsSeen
+from gypsum_core.events import AcceptedManifest, InstancesReceived, ManifestsReceived
 from gypsum_core.messages import ManifestEntry
 
 CALL_LATENCY = 0.004
@@ -12,14 +12,14 @@
 
 @dataclass
 class PutOutcome:
-    """What an operator learns of a put; None when the answer was lost."""
+    """Result of a put as an operator sees it; `accepted` is None if it is unknown."""
 
     accepted: bool | None
     version: int
 
 
 class FakePlatform:
-    """Serves manifests and the instance list to hosts; counts its calls."""
+    """Serves manifests and the instance list to hosts, and counts calls."""
 
     def __init__(self, *, world):
         self.world = world
@@ -29,14 +29,14 @@
         self.instances = ()
         self.list_revision = 0
         self.down = False
-        self.slow = 0.0
+        self.extra_delay = 0.0
         self.lose_answers = 0
         self.calls = 0
         self.accepted_at = {}
 
     def delay(self):
-        """One way to the platform and back."""
-        return CALL_LATENCY + self.slow
+        """Seconds for a call to the platform."""
+        return CALL_LATENCY + self.extra_delay
 
     # Operators
 
@@ -51,7 +51,7 @@
         accepted = version == expect
         if accepted:
             self.specs[spec.name] = spec
-            self.world.bodies[(spec.name, spec.version)] = spec
+            self.world.manifests[(spec.name, spec.version)] = spec
             self.writers[spec.name] = writer
             self.accepted_at[(spec.name, spec.version)] = self.clock.now
             self.notify()
@@ -61,68 +61,72 @@
         return PutOutcome(accepted=accepted, version=max(version, spec.version))
 
     def notify(self):
-        """Watchers learn of a change after a call's time."""
+        """Send all manifests to the watchers, after the delay of a call."""
         for host in self.world.hosts.values():
-            if host.alive and host.node.manifests.watches():
+            if host.alive and host.node.manifests.is_watcher():
                 self.calls += 1
                 self.clock.after(self.delay(), self.send_all, host, self.snapshot())
 
     def snapshot(self):
-        """All manifests as they stand now; a late answer carries old ones."""
-        return tuple(accepted(spec) for spec in self.specs.values())
+        """The current manifests; an answer that is delayed then carries old ones."""
+        return tuple(accepted_manifest(spec) for spec in self.specs.values())
 
     # Hosts
 
-    def follow(self, host):
-        """A host's loops: the instance list and the first listing."""
-        self.clock.after(self.delay(), self.list_instances, host, host.life)
-        self.clock.after(self.delay(), self.load, host, host.life)
+    def connect_host(self, host):
+        """Start a host's loops for the instance list and the manifests."""
+        self.clock.after(self.delay(), self.list_instances, host, host.incarnation)
+        self.clock.after(self.delay(), self.load, host, host.incarnation)
 
-    def list_instances(self, host, life):
-        """Give a host the list, again and again."""
-        if host.life != life:
+    def list_instances(self, host, incarnation):
+        """Send a host the instance list at each interval."""
+        if host.incarnation != incarnation:
             return
-        if host.node.reads_list():
+        if host.node.should_poll_instances():
             self.send_list(host)
-        self.clock.after(LIST_INTERVAL, self.list_instances, host, life)
+        self.clock.after(LIST_INTERVAL, self.list_instances, host, incarnation)
 
     def send_list(self, host):
-        """Answer a host's question for the list."""
+        """Answer a host's request for the instance list."""
         self.calls += 1
         if self.down or self.world.is_cut(host.name, "platform"):
             return
-        listed = InstancesListed(instances=self.instances, revision=self.list_revision)
-        self.clock.after(self.slow, host.feed, listed)
-
-    def load(self, host, life):
-        """Give a host everything once, then what it missed if it watches."""
-        if host.life != life:
+        listed = InstancesReceived(
+            instances=self.instances, revision=self.list_revision
+        )
+        self.clock.after(self.extra_delay, host.feed, listed)
+
+    def load(self, host, incarnation):
+        """Send a host all manifests, then start its watch loop."""
+        if host.incarnation != incarnation:
             return
         self.calls += 1
         cut = self.world.is_cut(host.name, "platform")
         if not self.down and not cut:
             snapshot = self.snapshot()
-            self.clock.after(self.slow, self.send_all, host, snapshot)
-        self.clock.after(WATCH_RETRY, self.watch, host, life)
+            self.clock.after(self.extra_delay, self.send_all, host, snapshot)
+        self.clock.after(WATCH_RETRY, self.watch, host, incarnation)
 
-    def watch(self, host, life):
-        """A watcher reconnects and gets what changed while it was away."""
-        if host.life != life:
+    def watch(self, host, incarnation):
+        """Reload a watcher, or a host without manifests, at each interval."""
+        if host.incarnation != incarnation:
             return
-        if not host.loaded or host.node.manifests.watches():
-            self.load(host, life)
+        if not host.loaded or host.node.manifests.is_watcher():
+            self.load(host, incarnation)
         else:
-            self.clock.after(WATCH_RETRY, self.watch, host, life)
+            self.clock.after(WATCH_RETRY, self.watch, host, incarnation)
 
     def send_all(self, host, snapshot):
-        """Hand manifests to a host."""
+        """Deliver manifests to a host."""
         if self.down or not host.alive:
             return
         host.loaded = True
-        host.feed(ManifestsSeen(manifests=snapshot, source="platform", complete=True))
+        host.feed(
+            ManifestsReceived(manifests=snapshot, source="platform", complete=True)
+        )
 
 
-def accepted(spec):
-    """A manifest as the border hands it on; the body is not looked at."""
+def accepted_manifest(spec):
+    """A manifest as validation would return it; the body is not used."""
     entry = ManifestEntry(database=spec.name, version=spec.version, body="")
     return AcceptedManifest(spec=spec, entry=entry)
--- a/tests/sessions/fleetrig.py
+++ b/tests/sessions/fleetrig.py
@@ -9,16 +9,16 @@
 from random import Random
 
 from gypsum_platform.feeds import Feed, Waker
-from gypsum_platform.leases import OWN_KIND
-from gypsum_platform.registrar import Registrar
-from gypsum_platform.store import WATCH_MS, Conflict
-from gypsum_platform.takers import (
+from gypsum_platform.leases import SYSTEM_KIND
+from gypsum_platform.object_handlers import (
     CONFIG_KIND,
     CONFIG_WATCH_MS,
-    UPSTREAM_GATHER,
+    UPSTREAM_BATCH_INTERVAL,
     UPSTREAM_KIND,
-    OwnTaker,
+    SystemObjectHandler,
 )
+from gypsum_platform.registrar import Registrar
+from gypsum_platform.store import WATCH_MS, Conflict
 from gypsum_sessions.catalog import CatalogVersion, GroupSpec
 from gypsum_sessions.proxy import Proxy
 from gypsum_sessions.replies import UpstreamLost
@@ -113,7 +113,7 @@
         self.loop = asyncio.get_running_loop()
         self.rng = Random(seed)
         self.store = VirtualStore()
-        self.store.kinds[OWN_KIND] = {}
+        self.store.kinds[SYSTEM_KIND] = {}
         self.store.put(CONFIG_KIND, "main", {"version": 1})
         for number in range(30):
             self.store.put(UPSTREAM_KIND, f"s{number}", {"address": f"a:{number}"})
@@ -149,39 +149,39 @@
         self.links.proxies[name] = proxy
         self.proxies.append(proxy)
         client = CountingClient(store=self.store, daemon=name, counts=self.counts)
-        own_taker = OwnTaker(
-            proxy=proxy, own_name=name, rejoined=proxy.daemons.mark_rejoined
+        system_handler = SystemObjectHandler(
+            proxy=proxy, own_name=name, on_rejoined=proxy.daemons.mark_rejoined
         )
         waker = Waker()
-        takers = {
+        handlers = {
             CONFIG_KIND: (FeedCopy(), 0.0),
-            UPSTREAM_KIND: (FeedCopy(), UPSTREAM_GATHER),
-            OWN_KIND: (own_taker, 0.0),
+            UPSTREAM_KIND: (FeedCopy(), UPSTREAM_BATCH_INTERVAL),
+            SYSTEM_KIND: (system_handler, 0.0),
         }
-        for kind, (taker, gather) in takers.items():
+        for kind, (handler, batch_interval) in handlers.items():
             feed = Feed(
                 store=client,
                 kind=kind,
-                take_all=taker.take_all,
-                take_change=taker.take_change,
+                on_list=handler.on_list,
+                on_change=handler.on_change,
                 log=self.log,
                 waker=waker,
-                gather=gather,
-                caught_up=proxy.lease_view.record_revision
-                if kind == OWN_KIND
+                batch_interval=batch_interval,
+                on_caught_up=proxy.lease_view.record_revision
+                if kind == SYSTEM_KIND
                 else None,
                 relay=proxy.relay,
-                following=proxy.feed_follower,
+                follower=proxy.feed_follower,
                 watch_ms=CONFIG_WATCH_MS if kind == CONFIG_KIND else WATCH_MS,
             )
             proxy.keep_running(feed.run)
         registrar = Registrar(
             store=client,
             own=proxy.daemons.own,
-            taker=own_taker,
+            handler=system_handler,
             log=self.log,
             waker=waker,
-            rejoined=proxy.daemons.mark_rejoined,
+            on_rejoined=proxy.daemons.mark_rejoined,
         )
         for work in (registrar.run, proxy.relay.run, proxy.feed_follower.run):
             proxy.keep_running(work)
