--- a/bench/logic.py
+++ b/bench/logic.py
@@ -178,10 +178,12 @@
 def measure_messages():
     """Yield messages per read and write, and platform calls, in virtual time."""
     for verb, fields in (("read", get("c", "t")), ("write", put("c", 1, "t"))):
-        counts, requests = count_messages(fields)
+        counts, request_count = count_messages(fields)
         for kind, count in sorted(counts.items()):
             yield Figure(
-                name=f"messages_per_{verb}_{kind}", value=count / requests, unit="count"
+                name=f"messages_per_{verb}_{kind}",
+                value=count / request_count,
+                unit="count",
             )
     few, many = platform_calls(9), platform_calls(90)
     yield Figure(
@@ -202,13 +204,13 @@
     for server in world.groups["grid"].servers.values():
         server.arrivals.clear()
     sent = world.messages
-    requests = 0
+    request_count = 0
     verb = fields["verb"]
     plain = {name: value for name, value in fields.items() if name != "verb"}
     end = world.clock.now + MESSAGE_COUNT_SECONDS
     session = Position(term=1, index=0)
     while world.clock.now < end:
-        requests += 1
+        request_count += 1
         world.ask("d0", verb, lambda answer: None, session=session, **plain)
         world.run(0.01)
     arrivals = Counter(
@@ -217,7 +219,7 @@
         for _, action in server.arrivals
     )
     arrivals["between_daemons"] = world.messages - sent
-    return arrivals, requests
+    return arrivals, request_count
 
 
 def platform_calls(daemons):
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -177,13 +177,13 @@
             if daemon.process.returncode is None and not daemon.paused
         ]
 
-    async def stop_daemon(self, daemon, number):
+    async def stop_daemon(self, daemon, signal_number):
         """Signal a daemon's process, by its id, and wait for its end."""
         if daemon.process.returncode is not None:
             return
         daemon.stopped_by_soak = True
         self.resume(daemon)
-        daemon.process.send_signal(number)
+        daemon.process.send_signal(signal_number)
         code = await daemon.process.wait()
         # Until the program has installed its handler, SIGTERM ends the interpreter by
         # the signal. A process that has logged nothing has served nobody, so that its
