--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -23,14 +23,14 @@
 
 from bench.logic import LogicHarness, make_instances
 from bench.path import processor_seconds
-from gypsum_core.events import InstancesListed, ManifestsSeen
+from gypsum_core.events import InstancesReceived, ManifestsReceived
 from gypsum_core.messages import Changes, Digest, InstanceChanges, ManifestEntry
 from gypsum_core.spec import DEFAULT_TUNING, Instance, InstanceRole
 from gypsum_links.codec import encode
 from gypsum_links.links import Links
 from gypsum_upstream.sql import ask_status
 from tests.cluster import Cluster
-from tests.fakes.platform import accepted
+from tests.fakes.platform import accepted_manifest
 from tests.fakes.world import make_spec
 
 DOC = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
@@ -96,7 +96,7 @@
     body = json.dumps({"upstreams": ["x" * 120] * 3, "kinds": ["y" * 90] * 8})
     manifests = []
     for number in range(count):
-        item = accepted(make_spec(f"db{number}"))
+        item = accepted_manifest(make_spec(f"db{number}"))
         entry = ManifestEntry(database=f"db{number}", version=1, body=body + " ")
         manifests.append(type(item)(spec=item.spec, entry=entry))
     return tuple(manifests)
@@ -127,16 +127,16 @@
         for n in range(UPSTREAMS)
     )
     instances = make_instances(DAEMONS) + upstreams
-    harness.handle(InstancesListed(instances=instances, revision=10))
+    harness.handle(InstancesReceived(instances=instances, revision=10))
     started_at = time.process_time()
     for revision in (11, 12, 13):
         changed = instances[: revision % 5] + instances[revision % 5 + 1 :]
-        harness.handle(InstancesListed(instances=changed, revision=revision))
+        harness.handle(InstancesReceived(instances=changed, revision=revision))
     list_ms = (time.process_time() - started_at) / 3 * 1000
     started_at = time.process_time()
     for version in range(2, 52):
-        manifests = (accepted(make_spec("db1", version)),)
-        harness.handle(ManifestsSeen(manifests=manifests, source="platform"))
+        manifests = (accepted_manifest(make_spec("db1", version)),)
+        harness.handle(ManifestsReceived(manifests=manifests, source="platform"))
     manifest_ms = (time.process_time() - started_at) / 50 * 1000
     return list_ms, manifest_ms
 
--- a/bench/logic.py
+++ b/bench/logic.py
@@ -9,16 +9,16 @@
 from gypsum_core import actions
 from gypsum_core.events import (
     CallerRequest,
-    InstancesListed,
-    ManifestsSeen,
-    Ran,
-    StatusKnown,
+    InstancesReceived,
+    ManifestsReceived,
+    StatementCompleted,
+    StatusReceived,
 )
 from gypsum_core.node import Node
 from gypsum_core.placement import Placement
 from gypsum_core.records import Position, Request, Result, Statement, Status, Verb
 from gypsum_core.spec import Instance, InstanceRole
-from tests.fakes.platform import accepted
+from tests.fakes.platform import accepted_manifest
 from tests.fakes.world import World, get, make_spec, put
 
 READS = 4000
@@ -65,10 +65,10 @@
         )
         self.replies = 0
         self.pending = []
-        self.handle(InstancesListed(instances=instances))
-        manifests = tuple(accepted(make_spec(name)) for name in self.names)
+        self.handle(InstancesReceived(instances=instances))
+        manifests = tuple(accepted_manifest(make_spec(name)) for name in self.names)
         self.handle(
-            ManifestsSeen(manifests=manifests, source="platform", complete=True)
+            ManifestsReceived(manifests=manifests, source="platform", complete=True)
         )
         self.owned = [name for name, item in self.node.homes.items() if item.rank == 0]
 
@@ -90,8 +90,10 @@
         """Return the answer of a healthy group to an action."""
         ids = {"op": action.op, "database": action.database}
         if isinstance(action, actions.Read):
-            return Ran(**ids, result=Result(columns=("a",), rows=((1,),)))
-        return StatusKnown(**ids, status=self.status(action))
+            return StatementCompleted(
+                **ids, result=Result(columns=("a",), rows=((1,),))
+            )
+        return StatusReceived(**ids, status=self.status(action))
 
     def status(self, action):
         """Return the status of an upstream in a group without lag."""
@@ -110,8 +112,8 @@
         """Activate the owned databases and probe their groups."""
         for name in self.owned:
             self.node.homes[name].activate()
-            self.node.homes[name].watch.poll_once()
-        for action in self.node.ctx.take():
+            self.node.homes[name].watch.probe_all()
+        for action in self.node.ctx.take_actions():
             if isinstance(action, actions.Probe):
                 self.pending.append(action)
         self.answer_pending()
@@ -226,5 +228,7 @@
     """Return the fleet's watch calls per minute, without its lists of instances."""
     world = World(daemons=daemons)
     world.run(2.0)
-    watchers = [host for host in world.hosts.values() if host.node.manifests.watches()]
+    watchers = [
+        host for host in world.hosts.values() if host.node.manifests.is_watcher()
+    ]
     return len(watchers) * 60.0 / 20.0
--- a/bench/manifests.py
+++ b/bench/manifests.py
@@ -30,7 +30,7 @@
 def fail_after_first_delivery(world):
     """Deliver the change to one watcher before the platform fails."""
     watcher = next(
-        host for host in world.hosts.values() if host.node.manifests.watches()
+        host for host in world.hosts.values() if host.node.manifests.is_watcher()
     )
     world.clock.after(
         0.0, lambda: deliver_to_watcher(world, watcher, world.platform.snapshot())
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -10,13 +10,13 @@
 from gypsum_core.fairqueue import FairQueue
 from gypsum_core.records import Mode
 from gypsum_core.spec import KindSpec
-from tests.fakes.world import BETWEEN_DOMAINS, JITTER, World, make_spec, put
-from tests.invariants import done
+from tests.fakes.world import JITTER, LINK_LATENCY, World, make_spec, put
+from tests.invariants import is_done
 
 SERVICE = 0.01
 SLOTS = 5
 CAPACITY = SLOTS / SERVICE
-ROUND_TRIP = 2 * BETWEEN_DOMAINS * (1 + JITTER / 2)
+ROUND_TRIP = 2 * LINK_LATENCY * (1 + JITTER / 2)
 BOUND_RATE = SLOTS / (SERVICE + ROUND_TRIP)
 SECONDS = 6.0
 WARM_UP = 1.0
@@ -79,7 +79,7 @@
     def record_answer(self, answer, member, kind, sent_at, counted):
         """Count an answer: served if it is within its deadline, else refused."""
         latency = self.world.clock.now - sent_at
-        if counted and done(answer) and latency <= DEADLINE:
+        if counted and is_done(answer) and latency <= DEADLINE:
             self.served[kind] += 1
             self.latencies[member].append(latency)
         elif counted:
@@ -129,8 +129,8 @@
         )
 
     FairQueue.push = push
-    Admission.admit = lambda self, job, queue, slots, service: True
-    Admission.trim = lambda self, queue, member, slots, service: None
+    Admission.admit = lambda self, job, queue, slots, service_time: True
+    Admission.refuse_displaced = lambda self, queue, member, slots, service_time: None
 
 
 ORIGINAL_PUSH = FairQueue.push
--- a/bench/replicas.py
+++ b/bench/replicas.py
@@ -12,11 +12,11 @@
 
 from bench.report import Figure, percentile
 from gypsum_core.actions import Probe
-from gypsum_core.readdesk import Place, Placement, ReadDesk
+from gypsum_core.readplacer import Place, Placement, ReadPlacer
 from gypsum_core.records import Mode
 from gypsum_core.spec import KindSpec
 from tests.fakes.world import World, get, make_spec, put
-from tests.invariants import done
+from tests.invariants import is_done
 
 RATE = 250.0
 SECONDS = 8.0
@@ -105,7 +105,7 @@
     def write_done(self, caller, answer):
         """Record a write's position and the time of its commit."""
         caller.busy = False
-        if done(answer):
+        if is_done(answer):
             caller.session = answer.position
             caller.written = answer.position.index
             length = len(self.group.member("grid-u1").log)
@@ -140,7 +140,7 @@
     def read_done(self, caller, answer, eligible, sent_at):
         """Count a read that was answered."""
         caller.busy = False
-        if not done(answer):
+        if not is_done(answer):
             return
         if answer.position is not None:
             caller.session = max(answer.position, caller.session or answer.position)
@@ -159,7 +159,7 @@
 def primary_after_write(self, job, claimed):
     """Baseline: a caller that has written always reads at the primary."""
     placement = ORIGINAL_PLACE(self, job, claimed)
-    if placement.place is Place.REPLICA and job.caller in self.recent.last:
+    if placement.place is Place.REPLICA and job.caller in self.recent_writers.positions:
         return Placement(place=Place.PRIMARY)
     return placement
 
@@ -169,7 +169,7 @@
     placement = ORIGINAL_PLACE(self, job, claimed)
     if placement.place is not Place.REPLICA:
         return placement
-    end = self.view.end()
+    end = self.view.log_end()
     caught_up = tuple(
         name
         for name in placement.upstreams
@@ -195,7 +195,7 @@
     probes: float
 
 
-ORIGINAL_PLACE = ReadDesk.place
+ORIGINAL_PLACE = ReadPlacer.place
 POLICIES = {
     "gypsumhitch": ORIGINAL_PLACE,
     "primary_after_write": primary_after_write,
@@ -206,9 +206,9 @@
 def run_load(job):
     """Run a load (policy, lags) in a worker process."""
     policy, lags = job
-    ReadDesk.place = POLICIES[policy]
+    ReadPlacer.place = POLICIES[policy]
     run = MixedLoad(lags=lags).run()
-    ReadDesk.place = ORIGINAL_PLACE
+    ReadPlacer.place = ORIGINAL_PLACE
     probes = sum(
         isinstance(action, Probe)
         for server in run.group.servers.values()
--- a/packages/core/gypsum_core/admission.py
+++ b/packages/core/gypsum_core/admission.py
@@ -1,128 +1,139 @@
-"""Which requests may wait at a home, and which are refused at once."""
+"""Admission control: which requests a home queues and which it refuses."""
 
-from gypsum_core.limits import RETRY_SOON, expected_wait
+from gypsum_core.load import DEFAULT_RETRY_AFTER, expected_wait
 from gypsum_core.records import Reason
 
-GONE_AFTER = 3.0
-RETRY_BEHIND = 2.0
-TIME_NEEDED = 1.5
+PRIMARY_LOSS_TOLERANCE = 3.0
+RETRY_AFTER_REPLICAS_BEHIND = 2.0
+SERVICE_TIME_MARGIN = 1.5
 
 
 class Admission:
-    """Refuses early what could not be answered in time."""
+    """Refuses requests that could not be answered before their deadline."""
 
     def __init__(self, *, home):
         self.home = home
         self.ctx = home.ctx
 
     def admit_primary(self, job):
-        """Queue work for the primary, or refuse it at once."""
-        if job.writes and self.home.writes.stalled():
+        """Queue a job for the primary, or refuse it immediately."""
+        if job.is_write and self.home.unconfirmed_writes.is_stalled():
             self.home.refuse(
                 job,
                 Reason.REPLICAS_BEHIND,
                 "no replica keeps up with the primary",
-                retry_after=RETRY_BEHIND,
+                retry_after=RETRY_AFTER_REPLICAS_BEHIND,
             )
             return
-        if self.gone_for() > GONE_AFTER and not self.home.failover.vetoed:
+        if (
+            self.leaderless_for() > PRIMARY_LOSS_TOLERANCE
+            and not self.home.failover.vetoed
+        ):
             self.home.refuse(
                 job,
                 Reason.NO_PRIMARY,
                 "the group has no primary",
-                retry_after=RETRY_SOON,
+                retry_after=DEFAULT_RETRY_AFTER,
             )
             return
         slots = (
-            self.home.lanes[self.home.view.primary].slots
+            self.home.loads[self.home.view.primary].slots
             if self.home.view.primary
             else 1
         )
-        service = self.primary_service()
-        if self.admit(job, self.home.primary_queue, slots, service):
-            self.queue_primary(job)
-            self.trim(self.home.primary_queue, job.request.member, slots, service)
+        service_time = self.primary_service_time()
+        if self.admit(job, self.home.primary_queue, slots, service_time):
+            self.enqueue_primary(job)
+            self.refuse_displaced(
+                self.home.primary_queue, job.request.member, slots, service_time
+            )
 
-    def gone_for(self):
-        """Seconds without a primary that answers."""
+    def leaderless_for(self):
+        """Return for how many seconds no primary has answered."""
         since = self.home.failover.leaderless_since
         if since is not None:
             return self.ctx.now - since
         if self.home.view.primary is None:
             return 0.0
-        return self.home.failover.silence(self.home.view.primary)
+        return self.home.failover.unanswered_for(self.home.view.primary)
+
+    def primary_service_time(self):
+        """Return the mean seconds that a statement takes at the primary."""
+        load = self.home.loads.get(self.home.view.primary)
+        return load.service_time if load else 0.0
 
-    def primary_service(self):
-        """Seconds that one statement takes at the primary."""
-        lane = self.home.lanes.get(self.home.view.primary)
-        return lane.service if lane else 0.0
+    def admit(self, job, queue, slots, service_time):
+        """Return whether a job may be queued; refuse it if not.
 
-    def admit(self, job, queue, slots, service):
-        """Refuse now what could not be answered in time; tell if it may wait."""
+        It may if it can be answered before its deadline and the queue is not full.
+        """
         member = job.request.member
         wait = expected_wait(
-            ahead=queue.ahead_of(
+            ahead=queue.count_ahead(
                 member, worth=job.kind.worth, deadline=job.request.deadline
             ),
             share=queue.share(member),
             slots=slots,
-            service=service,
+            service_time=service_time,
         )
         late = self.ctx.now + wait > job.request.deadline
         if not late and len(queue) < self.ctx.tuning.queue_limit:
             return True
-        self.overloaded(job, wait)
+        self.refuse_overloaded(job, wait)
         return False
 
-    def overloaded(self, job, wait):
-        """Refuse a request that its member's queue leaves no time for."""
+    def refuse_overloaded(self, job, wait):
+        """Refuse a request because its member's queue is too long."""
         member = job.request.member
         self.home.refuse(
             job, Reason.OVERLOAD, f"{member}: queue is too long", retry_after=wait
         )
 
-    def too_late(self, job, lane):
-        """Refuse a request that could not be answered any more; tell if so.
+    def refuse_if_late(self, job, load):
+        """Refuse a request that can no longer be answered in time; return whether.
 
-        What goes wrong without it: after a failover the queue holds what is about
-        to expire, each such request takes a slot and is answered too late, and the
-        next one has expired meanwhile as well.
+        After a failover the queue holds requests that are about to expire. Each of
+        them would occupy a slot and be answered too late, and by then the next one
+        would have expired as well.
         """
         left = job.request.deadline - self.ctx.now
-        needed = lane.service if job.is_read else self.home.writes.whole_time
-        if job.maybe_run or job.request.tx or left >= TIME_NEEDED * needed:
+        needed = (
+            load.service_time
+            if job.is_read
+            else self.home.unconfirmed_writes.mean_write_time
+        )
+        if job.may_have_run or job.request.tx or left >= SERVICE_TIME_MARGIN * needed:
             return False
         self.home.refuse(
             job,
             Reason.OVERLOAD,
             "its turn came too late to answer in time",
-            retry_after=RETRY_SOON,
+            retry_after=DEFAULT_RETRY_AFTER,
         )
         return True
 
-    def trim(self, queue, member, slots, service):
-        """Refuse what newer and worthier requests have pushed out of time.
+    def refuse_displaced(self, queue, member, slots, service_time):
+        """Refuse requests that newer ones of higher worth have displaced.
 
-        What goes wrong without it: a request of little worth waits until its
-        deadline for a turn that never comes, and its caller learns nothing until
-        then.
+        A request of low worth would otherwise stay queued until its deadline
+        without ever being run, and its caller would get no answer before then.
         """
-        while queue.waiting(member) > slots:
+        while queue.queued(member) > slots:
             job = queue.last(member)
             wait = expected_wait(
-                ahead=queue.waiting(member) - 1,
+                ahead=queue.queued(member) - 1,
                 share=queue.share(member),
                 slots=slots,
-                service=service,
+                service_time=service_time,
             )
-            if job.maybe_run or self.ctx.now + wait <= job.request.deadline:
+            if job.may_have_run or self.ctx.now + wait <= job.request.deadline:
                 return
-            queue.drop_last(member)
+            queue.pop_last(member)
             if not job.closed:
-                self.overloaded(job, wait)
+                self.refuse_overloaded(job, wait)
 
-    def queue_primary(self, job, *, first=False):
-        """Put a job into the primary's queue."""
+    def enqueue_primary(self, job, *, first=False):
+        """Add a job to the primary's queue; with `first`, at its member's head."""
         job.step = "queue"
         self.home.primary_queue.push(
             job,
--- a/packages/core/gypsum_core/home.py
+++ b/packages/core/gypsum_core/home.py
@@ -1,82 +1,84 @@
-"""The home of one database: the parts that serve it, and the book of its jobs."""
+"""The home of one database: its components and its open jobs."""
 
 from collections import deque
 from typing import Protocol
 
 from gypsum_core import actions
-from gypsum_core.actions import Warm
+from gypsum_core.actions import SetPoolSize
 from gypsum_core.admission import Admission
-from gypsum_core.answers import Answers
-from gypsum_core.claim import ClaimKeeper
+from gypsum_core.claim import WriteClaim
 from gypsum_core.dispatch import Dispatcher
 from gypsum_core.failover import PART as FAILOVER_PART
 from gypsum_core.failover import Failover
 from gypsum_core.fairqueue import FairQueue
 from gypsum_core.group import GroupView
-from gypsum_core.homeboard import describe_home
-from gypsum_core.jobs import Job, Operation, Work
-from gypsum_core.limits import Lane
-from gypsum_core.placing import Placing
-from gypsum_core.readdesk import ReadDesk
-from gypsum_core.recent import RecentWriters
+from gypsum_core.homereport import describe_home
+from gypsum_core.jobs import Job, Operation, OperationKind
+from gypsum_core.load import UpstreamLoad
+from gypsum_core.readplacer import ReadPlacer
+from gypsum_core.readscheduler import ReadScheduler
+from gypsum_core.recentwriters import RecentWriters
 from gypsum_core.records import Answer, Outcome, Reason, Verb
+from gypsum_core.responses import ResponseHandler
 from gypsum_core.retry import RetryBudget
 from gypsum_core.timers import CATCH_UP, DEADLINE, POLL, ROUND
+from gypsum_core.transactionmanager import TransactionManager
 from gypsum_core.transactions import Transactions
-from gypsum_core.txdesk import TransactionDesk
-from gypsum_core.watch import Watch
-from gypsum_core.writedesk import WriteDesk
-
-WARM_SPARE = 2
-WORK_OF_ACTION = {
-    actions.Probe: Work.PROBE,
-    actions.Fence: Work.FENCE,
-    actions.Promote: Work.PROMOTE,
-    actions.Follow: Work.FOLLOW,
-    actions.Claim: Work.CLAIM,
+from gypsum_core.unconfirmedwrites import UnconfirmedWrites
+from gypsum_core.watch import GroupMonitor
+
+SPARE_CONNECTIONS = 2
+KIND_BY_ACTION = {
+    actions.Probe: OperationKind.PROBE,
+    actions.Fence: OperationKind.FENCE,
+    actions.Promote: OperationKind.PROMOTE,
+    actions.Follow: OperationKind.FOLLOW,
+    actions.Claim: OperationKind.CLAIM,
 }
 
 
-class Office(Protocol):
-    """What a home asks of the daemon it is part of."""
+class NodeInterface(Protocol):
+    """What a home needs from the daemon that it is part of."""
 
     def deliver(self, origin: str, answer: Answer) -> None:
-        """Give the final answer to the daemon that the request came from."""
+        """Send the final answer to the daemon that the request came from."""
 
     def redirect(self, origin: str, request: str, to: str) -> None:
-        """Ask the request's daemon to try another home."""
+        """Redirect a request: ask its daemon to send it to another home."""
 
     def monitors(self, database: str) -> list[str]:
-        """Other daemons that may be asked about the database's primary."""
+        """Return other daemons to ask whether they reach the primary."""
 
     def upstream_leaving(self, upstream: str) -> bool:
-        """Tell whether the instance list marks an upstream as leaving."""
+        """Return whether the instance list marks an upstream as leaving."""
 
 
 class Home:
     """Serves one database on behalf of all daemons."""
 
-    def __init__(self, *, ctx, spec, office: Office):
+    def __init__(self, *, ctx, spec, node: NodeInterface):
         self.ctx = ctx
         self.spec = spec
-        self.office = office
+        self.node = node
         self.view = GroupView(
             upstreams=spec.upstream_by_id,
             majority=spec.majority,
-            marks=ctx.tuning.marks,
+            sample_limit=ctx.tuning.marks,
         )
         self.failover = Failover(ctx=ctx, database=spec.name, view=self.view, home=self)
-        self.recent = RecentWriters(limit=ctx.tuning.recent_writers)
-        self.lanes = {item.id: Lane(slots=item.slots) for item in spec.upstreams}
-        self.reads = ReadDesk(
+        self.recent_writers = RecentWriters(limit=ctx.tuning.recent_writers)
+        self.loads = {
+            item.id: UpstreamLoad(slots=item.slots) for item in spec.upstreams
+        }
+        self.read_placer = ReadPlacer(
             ctx=ctx,
             view=self.view,
             failover=self.failover,
-            recent=self.recent,
-            lanes=self.lanes,
-            leaving=office.upstream_leaving,
+            recent_writers=self.recent_writers,
+            loads=self.loads,
+            leaving=node.upstream_leaving,
         )
-        self.writes = WriteDesk(ctx=ctx, view=self.view)
+        self.unconfirmed_writes = UnconfirmedWrites(ctx=ctx, view=self.view)
         self.transactions = Transactions()
         self.replica_queue = FairQueue(weights=spec.weight_by_member)
         self.primary_queue = FairQueue(weights=spec.weight_by_member)
@@ -85,58 +87,60 @@
             burst=ctx.tuning.retry_burst,
             tokens=ctx.tuning.retry_burst,
         )
-        self.held = deque()
-        self.urgent = deque()
-        self.awaiting = []
+        self.deferred_reads = deque()
+        self.transaction_jobs = deque()
+        self.waiting_reads = []
         self.jobs = {}
         self.operations = {}
         self.probing = {}
-        self.claim = ClaimKeeper(ctx=ctx, view=self.view, recent=self.recent)
-        self.round_at = float("-inf")
-        self.round_set = False
+        self.claim = WriteClaim(
+            ctx=ctx, view=self.view, recent_writers=self.recent_writers
+        )
+        self.last_round_at = float("-inf")
+        self.round_scheduled = False
         self.active = False
         self.rank = None
-        self.used_at = float("-inf")
+        self.last_used_at = float("-inf")
         self.refusals = {}
         self.admission = Admission(home=self)
         self.dispatch = Dispatcher(home=self)
-        self.watch = Watch(home=self)
-        self.txdesk = TransactionDesk(home=self)
-        self.placing = Placing(home=self)
-        self.answers = Answers(home=self)
+        self.watch = GroupMonitor(home=self)
+        self.transaction_manager = TransactionManager(home=self)
+        self.read_scheduler = ReadScheduler(home=self)
+        self.responses = ResponseHandler(home=self)
 
     def activate(self):
         """Start polling the group."""
         if self.active:
             return
         self.active = True
-        self.failover.watch_from()
+        self.failover.reset_monitoring()
         self.watch.poll()
 
     def set_rank(self, rank):
-        """Take the place in the database's order: 0 serves, 1 stands by."""
+        """Set the rank in the database's order: 0 is the home, 1 the standby."""
         changed = rank != self.rank
         self.rank = rank
         if rank == 0:
             self.activate()
         if changed:
-            self.warm()
+            self.warm_connections()
 
-    def warm(self):
-        """Open connections before they are needed, within our part of the limit.
+    def warm_connections(self):
+        """Open connections before they are needed, within this daemon's share.
 
-        The home may use `home_share` of an upstream's connections; the rest is
-        left for the standby, so that both together never exceed the limit while
-        the old home does not know that it was passed over.
+        The home may use `home_share` of an upstream's connections, the standby the
+        rest. So both together never exceed the limit, even while the old home
+        doesn't know yet that it was replaced.
         """
         share = self.ctx.tuning.home_share
         if self.rank != 0:
             share = 1.0 - share
         for upstream in self.spec.upstreams:
             limit = max(1, int(upstream.connections * share))
-            target = min(limit, upstream.slots + WARM_SPARE)
+            target = min(limit, upstream.slots + SPARE_CONNECTIONS)
             self.ctx.emit(
-                Warm(
+                SetPoolSize(
                     database=self.spec.name,
                     upstream=upstream.id,
                     connections=target if self.rank in (0, 1) else 0,
@@ -145,31 +149,33 @@
             )
 
     def update_spec(self, spec):
-        """Put a newer manifest in force; running work goes on under it."""
+        """Apply a newer manifest; running jobs continue under it."""
         self.spec = spec
         for queue in (self.replica_queue, self.primary_queue):
             queue.weights = spec.weight_by_member
         for upstream in spec.upstreams:
-            lane = self.lanes.setdefault(upstream.id, Lane(slots=upstream.slots))
-            lane.slots = upstream.slots
+            load = self.loads.setdefault(
+                upstream.id, UpstreamLoad(slots=upstream.slots)
+            )
+            load.slots = upstream.slots
         self.view.upstreams = tuple(spec.upstream_by_id)
         self.view.majority = spec.majority
-        for upstream in list(self.view.seen):
+        for upstream in list(self.view.samples):
             if upstream not in spec.upstream_by_id:
-                self.view.forget(upstream)
-        self.warm()
-        self.dispatch.pump()
+                self.view.remove_status(upstream)
+        self.warm_connections()
+        self.dispatch.start_queued()
 
     @property
     def busy(self):
-        """Tell whether anything is still to be answered here."""
+        """Whether jobs or transactions are open here."""
         return bool(self.jobs) or bool(len(self.transactions))
 
     def submit(self, request, origin):
-        """Take a request; its final answer comes through the office."""
+        """Accept a request; the final answer goes to the node's `deliver`."""
         if request.id in self.jobs:
             return
-        self.used_at = self.ctx.now
+        self.last_used_at = self.ctx.now
         self.activate()
         kind = self.kind_of(request)
         job = Job(request=request, origin=origin, kind=kind, arrived=self.ctx.now)
@@ -185,25 +191,25 @@
             detail=request.id,
         )
         if request.verb in (Verb.TX_QUERY, Verb.COMMIT, Verb.ROLLBACK):
-            self.txdesk.submit_to_transaction(job)
+            self.transaction_manager.submit(job)
         elif job.is_read:
-            self.placing.place_read(job)
+            self.read_scheduler.place_read(job)
         else:
             self.admission.admit_primary(job)
-        self.dispatch.pump()
+        self.dispatch.start_queued()
 
     def kind_of(self, request):
-        """The request's kind; verbs without one get the transaction's defaults."""
+        """Return the request's kind, or the first kind for verbs without one."""
         kind = self.spec.kind_by_name.get(request.kind)
         return kind or self.spec.kinds[0]
 
     def launch(self, action):
-        """Emit an action of the failover machine and note what it is for."""
-        work = WORK_OF_ACTION[type(action)]
+        """Emit an action without a job and record it as a pending operation."""
+        kind = KIND_BY_ACTION[type(action)]
         term = getattr(action, "term", self.view.term)
         self.operations[action.op] = Operation(
             op=action.op,
-            work=work,
+            kind=kind,
             upstream=action.upstream,
             sent_at=self.ctx.now,
             term=term,
@@ -211,70 +217,72 @@
         )
         self.ctx.emit(action)
 
-    def learn(self, status, sent_at):
-        """Take in a status and everything that follows from it."""
-        self.failover.heard(status.upstream)
+    def apply_status(self, status, sent_at):
+        """Apply a status to the group view and act on the changes."""
+        self.failover.record_response(status.upstream)
         if status.discarded:
             self.ctx.log(
                 FAILOVER_PART,
                 f"{self.spec.name}: {status.upstream} discarded a divergent tail, "
                 f"entries={status.discarded}",
             )
-        changed = self.view.learn(status, sent_at=sent_at)
+        changed = self.view.update_status(status, sent_at=sent_at)
         if changed:
-            self.primary_changed()
-        self.answers.confirm_writes()
+            self.on_primary_changed()
+        self.responses.confirm_writes()
         self.failover.check()
-        self.placing.recheck()
-        self.dispatch.pump()
+        self.read_scheduler.place_waiting_reads()
+        self.dispatch.start_queued()
 
-    def primary_changed(self):
-        """Another primary or term is in force: nothing of the old one counts."""
+    def on_primary_changed(self):
+        """Abandon operations, transactions and writes of the previous primary."""
         for operation in list(self.operations.values()):
-            if operation.job and self.dispatch.outdated(operation):
-                self.dispatch.take_back(operation)
-        for tx in self.transactions.strangers(self.view.primary, self.view.term):
-            self.transactions.drop(tx.tx)
-            self.txdesk.abort(tx)
+            if operation.job and self.dispatch.is_outdated(operation):
+                self.dispatch.abandon_and_retry(operation)
+        for tx in self.transactions.opened_elsewhere(self.view.primary, self.view.term):
+            self.transactions.remove(tx.tx)
+            self.transaction_manager.abort(tx)
         if self.view.primary is not None:
-            for job in self.writes.take_stranded():
-                self.answers.run_again(job)
+            for job in self.unconfirmed_writes.take_outdated():
+                self.responses.requeue(job)
 
     def on_timer(self, timer):
-        """A timer of this home is due."""
+        """Handle a timer of this home."""
         if timer.part == FAILOVER_PART:
             self.failover.check()
-            self.dispatch.pump()
+            self.dispatch.start_queued()
         elif timer.part == DEADLINE:
-            self.deadline_over(timer.detail)
+            self.on_deadline(timer.detail)
         elif timer.part == CATCH_UP:
-            self.placing.waited_enough(timer.detail)
+            self.read_scheduler.on_wait_expired(timer.detail)
         elif timer.detail == ROUND:
-            self.round_set = False
-            if self.awaiting or self.writes.unconfirmed:
-                self.watch.ensure_round()
+            self.round_scheduled = False
+            if self.waiting_reads or self.unconfirmed_writes.jobs:
+                self.watch.request_round()
         elif timer.detail == POLL:
             self.watch.poll()
 
-    def deadline_over(self, request_id):
-        """Answer at the deadline, truthfully: not run, or unknown."""
+    def on_deadline(self, request_id):
+        """Answer a request at its deadline as not run, or as unknown."""
         job = self.jobs.get(request_id)
         if job is None or job.closed:
             return
         running = job.op in self.operations
         if running:
-            self.txdesk.abort_transaction_of(job)
+            self.transaction_manager.abort_for(job)
         self.refuse(
             job,
             Reason.DEADLINE,
             f"the deadline was over at step {job.step}",
-            unclear=running,
+            outcome_unknown=running,
         )
 
-    def refuse(self, job, reason, detail, retry_after=0.0, *, peer="", unclear=False):
-        """Answer that a request was not run, or that this is not known."""
-        asks = job.request.verb is Verb.OUTCOME
-        known = not job.maybe_run and not unclear and not asks
+    def refuse(
+        self, job, reason, detail, retry_after=0.0, *, peer="", outcome_unknown=False
+    ):
+        """Answer that a request was not run, or that its outcome is unknown."""
+        asks_outcome = job.request.verb is Verb.OUTCOME
+        known = not job.may_have_run and not outcome_unknown and not asks_outcome
         known = known or reason in (
             Reason.SQL_ERROR,
             Reason.KEY_REUSED,
@@ -297,39 +305,39 @@
         )
 
     def close(self, job):
-        """Strike a job off the book; nothing more is answered for it."""
+        """Remove a job; later responses for it are dropped."""
         job.closed = True
         self.jobs.pop(job.request.id, None)
 
     def finish(self, job, answer):
-        """Give a job its one final answer."""
+        """Deliver the final answer of a job."""
         if job.closed:
             return
         self.close(job)
-        self.office.deliver(job.origin, answer)
+        self.node.deliver(job.origin, answer)
 
     def hand_over(self, to):
-        """Send everything that has not started to the next home."""
+        """Redirect all jobs that have not started to the next home."""
         waiting = self.primary_queue.remove_if(lambda job: not job.settling)
         waiting += self.replica_queue.remove_if(lambda job: True)
-        waiting += self.awaiting
-        waiting += self.held
-        self.awaiting = []
-        self.held.clear()
+        waiting += self.waiting_reads
+        waiting += self.deferred_reads
+        self.waiting_reads = []
+        self.deferred_reads.clear()
         for job in waiting:
             if job.closed:
                 continue
             self.close(job)
-            self.office.redirect(job.origin, job.request.id, to)
+            self.node.redirect(job.origin, job.request.id, to)
 
     def monitors(self):
-        """Other daemons to ask about the primary."""
-        return self.office.monitors(self.spec.name)
+        """Return other daemons to ask whether they reach the primary."""
+        return self.node.monitors(self.spec.name)
 
     def upstream_leaving(self, upstream):
-        """Tell whether an upstream leaves."""
-        return self.office.upstream_leaving(upstream)
+        """Return whether the instance list marks an upstream as leaving."""
+        return self.node.upstream_leaving(upstream)
 
     def describe(self):
-        """What an operator wants to know of this home."""
+        """Return this home's state for metrics and operators."""
         return describe_home(self)
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -6,7 +6,7 @@
 
 from gypsum_sessions.catalog import ReadRule
 from soak.fleet import connect
-from tests.promises import Acked, SentRead
+from tests.guarantees import AckedWrite, SentRead
 
 READ_RULES = {
     "primary": ReadRule.PRIMARY,
@@ -128,10 +128,10 @@
         """Record which result a caller got for its writes."""
         if end == "COMPLETE":
             self.checker.acked.append(
-                Acked(data=tuple(data), at=time.monotonic(), session=self.name)
+                AckedWrite(data=tuple(data), at=time.monotonic(), session=self.name)
             )
         elif end in NOT_APPLIED:
-            self.checker.promised += data
+            self.checker.refused_writes += data
 
     async def set_value(self):
         """Set a random value of the session."""
@@ -169,7 +169,7 @@
             await asyncio.sleep(self.rng.random() * 0.2)
         if end != "COMPLETE" or self.rng.random() < 0.2:
             await self.query("ROLLBACK")
-            self.checker.promised += wrote
+            self.checker.refused_writes += wrote
             return
         request = self.client.next_request
         self.checker.transactions[request] = self.name
--- a/soak/checker.py
+++ b/soak/checker.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from soak.workspaces import workspace_of
-from tests.promises import Promises
+from tests.guarantees import GuaranteeChecker
 
 # Seconds after which a leaving upstream gets no new work: the daemons' own limit plus
 # one second for the update from the store.
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class StatementChecker(Promises):
+class StatementChecker(GuaranteeChecker):
     """Checks statements, drains, configurations and answers; `broken` has the findings.
 
     Times are of the monotonic clock. `fault_free_since` is the end of the last
@@ -64,7 +64,7 @@
             )
         )
 
-    def has_set(self, session, values, at):
+    def values_match(self, session, values, at):
         """Return whether a session may have had these values at a time.
 
         Events of upstreams and answers to callers come from different processes, in any
--- a/tests/promises.py
+++ b/tests/guarantees.py
@@ -1,13 +1,13 @@
-"""What callers were told and what upstreams ran: finds broken promises.
+"""Checks of the proxy's guarantees from callers' answers and upstreams' statements.
 
-One copy for the random runs in virtual time and for the soak over real processes.
+Shared by the random runs in virtual time and the soak over real processes.
 """
 
 from dataclasses import dataclass, field
 
 from gypsum_sessions.catalog import ReadRule
 
-# How old what a read shows may be, seconds, for the routes of the tests.
+# Maximum age in seconds of the data of a read, by the read rules of the tests.
 MAX_AGE = {
     ReadRule.PRIMARY: 0.0,
     ReadRule.BOUNDED: 1.5,
@@ -16,8 +16,8 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Acked:
-    """Writes that a caller was told are kept."""
+class AckedWrite:
+    """Writes that were acknowledged to a caller."""
 
     data: tuple[str, ...]
     at: float
@@ -34,27 +34,30 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Promises:
-    """The book of one run: what was sent, told and run."""
+class GuaranteeChecker:
+    """Records what was sent, answered and run, and collects violations in `broken`.
 
-    acked: list[Acked] = field(default_factory=list)
-    promised: list[str] = field(default_factory=list)
+    `refused_writes` is the data of writes that callers were told had not been run.
+    """
+
+    acked: list[AckedWrite] = field(default_factory=list)
+    refused_writes: list[str] = field(default_factory=list)
     values: dict[int | str, dict[str, str]] = field(default_factory=dict)
     reads: dict[str, SentRead] = field(default_factory=dict)
     transactions: dict[str, int | str] = field(default_factory=dict)
     owners: dict[object, int | str] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
 
-    def has_set(self, session, values, at):
-        """Tell whether a session had these values at a time; here: has them now."""
+    def values_match(self, session, values, at):
+        """Return whether a session had these values at a time; here: has them now."""
         return values == self.values.get(session, {})
 
     def ran(self, request, session, *, conn, values, in_transaction, at=0.0):
-        """An upstream ran a caller's statement: is it where it belongs?
+        """Check that a statement ran with its session's values and transaction.
 
-        `conn` stands for the connection, `values` are those set on it.
+        `conn` identifies the connection, `values` are the values set on it.
         """
-        if not self.has_set(session, values, at):
+        if not self.values_match(session, values, at):
             self.broken.append(f"PINNED {request}: values {values}")
         owner = self.owners.get(conn)
         if in_transaction and owner not in (None, session):
@@ -64,7 +67,7 @@
         self.owners[conn] = session if in_transaction else None
 
     def read_ran(self, request, member, lacks):
-        """An upstream ran a read on a log that lacks some data: may it?"""
+        """Check that a read was not run on a log that lacks data it must reflect."""
         sent = self.reads[request]
         for item in self.acked:
             own = (
@@ -75,16 +78,16 @@
                 self.broken.append(f"STALE {request} at {member}: lacks {item.data}")
 
     def finish(self, kept, orders):
-        """Check what is only known at the end.
+        """Check the final log and the promotions.
 
-        `kept` is the data in the last log, `orders` tokens and holders of promotions.
+        `kept` is the data in the final log, `orders` tokens and holders of promotions.
         """
         if len(kept) != len(set(kept)):
             self.broken.append("TWICE")
         for item in self.acked:
             if not set(item.data) <= set(kept):
                 self.broken.append(f"LOST {item.data}")
-        for data in self.promised:
+        for data in self.refused_writes:
             if data in kept:
                 self.broken.append(f"REFUSED {data}")
         if len({token for token, _ in orders}) != len(set(orders)):
--- a/tests/platform/test_slow_links.py
+++ b/tests/platform/test_slow_links.py
@@ -6,8 +6,8 @@
 
 from gypsum_platform import exchange as exchange_module
 from gypsum_platform.feeds import Feed, Waker
+from gypsum_platform.object_handlers import ConfigHandler
 from gypsum_platform.store import Store, StoreError
-from gypsum_platform.takers import ConfigTaker
 from tests.platform.test_store import ProxyDouble, config, until, with_store
 
 # A configuration of some 1,600 routes, bytes, and a link that carries it in half a
@@ -23,12 +23,12 @@
 
 def config_feed(client, proxy):
     """A feed of the configuration without a watcher to follow."""
-    taker = ConfigTaker(proxy=proxy)
+    handler = ConfigHandler(proxy=proxy)
     return Feed(
         store=client,
         kind="config",
-        take_all=taker.take_all,
-        take_change=taker.take_change,
+        on_list=handler.on_list,
+        on_change=handler.on_change,
         log=proxy.log,
         waker=Waker(),
     )
@@ -85,7 +85,7 @@
     Sequence: the connection goes silent in the middle of an answer. Cause: only the
     first byte was waited for with a limit.
     """
-    monkeypatch.setattr(exchange_module, "SILENT_AFTER", 0.2)
+    monkeypatch.setattr(exchange_module, "IDLE_TIMEOUT", 0.2)
 
     async def main(stand_in, client):
         stand_in.put("config", "main", large_config(1))
@@ -108,7 +108,7 @@
         proxy = ProxyDouble()
         stand_in.put("config", "main", large_config(1))
         feed = config_feed(client, proxy)
-        await feed.step()
+        await feed.poll_store()
         stand_in.rate = LINK
         for version in range(2, 14):
             stand_in.put("config", "main", large_config(version))
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from gypsum_sessions.replies import Refusal, SessionState
-from tests.promises import Acked, Promises, SentRead
+from tests.guarantees import AckedWrite, GuaranteeChecker, SentRead
 from tests.sessions.fakegroup import FakeMember
 from tests.sessions.rig import FakeCaller, Rig
 from tests.sessions.vclock import run
@@ -18,7 +18,7 @@
 NOT_KEPT_REFUSALS = {Refusal.BUSY, Refusal.ABORTED, Refusal.LAGGING, Refusal.READ_ONLY}
 
 
-class Checker(Promises):
+class Checker(GuaranteeChecker):
     """Checks the statements that the upstreams of a rig ran."""
 
     def __init__(self, *, rig):
@@ -105,10 +105,10 @@
     reply = await caller.send(f"WRITE {data} {data}")
     if reply.ok:
         checker.acked.append(
-            Acked(data=(data,), at=rig.loop.clock(), session=caller.number)
+            AckedWrite(data=(data,), at=rig.loop.clock(), session=caller.number)
         )
     elif reply.refusal in NOT_KEPT_REFUSALS:
-        checker.promised.append(data)
+        checker.refused_writes.append(data)
 
 
 async def transaction(rig, checker, rng, caller):
@@ -135,20 +135,20 @@
     failed = reply is not None and not reply.ok
     if failed or rng.random() < 0.2:
         await caller.send("ROLLBACK")
-        checker.promised += wrote
+        checker.refused_writes += wrote
         return
     checker.transactions[caller.next_request] = caller.number
     reply = await caller.send("COMMIT")
     if reply.ok and wrote:
         checker.acked.append(
-            Acked(
+            AckedWrite(
                 data=tuple(wrote),
                 at=rig.loop.clock(),
                 session=caller.number,
             )
         )
     elif reply.refusal in NOT_KEPT_REFUSALS:
-        checker.promised += wrote
+        checker.refused_writes += wrote
 
 
 # Names of FaultInjector methods. The seeds in test_chaos.py depend on their order.
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,7 +13,7 @@
 from soak.schedule import PLANNED_WEIGHTS, STORE_RETURN_WEIGHTS, draw_schedule
 from soak.tcpproxy import TcpProxy
 from soak.workspaces import WORKSPACES, workspace_of
-from tests.promises import Acked, SentRead
+from tests.guarantees import AckedWrite, SentRead
 from tests.standins.platformworld import World
 
 # Seeds of the CI runs; `make soak` draws random ones.
@@ -88,7 +88,7 @@
 
 def test_stale_reads_are_noticed():
     checker = make_checker("a-2")
-    checker.acked.append(Acked(data=("a-1",), at=1.0, session="a"))
+    checker.acked.append(AckedWrite(data=("a-1",), at=1.0, session="a"))
     checker.reads["a-2"] = SentRead(at=2.0, session="a", rule=ReadRule.READ_YOUR_WRITES)
     checker.handle_event({**ran("a-2"), "event": "read", "lacks": ["a-1"]})
     assert violations(checker) == ["STALE"]
@@ -151,8 +151,8 @@
 
 def test_the_end_shows_what_was_lost_doubled_kept_or_promoted_twice():
     checker = make_checker()
-    checker.acked.append(Acked(data=("a",), at=1.0, session="s"))
-    checker.promised.append("b")
+    checker.acked.append(AckedWrite(data=("a",), at=1.0, session="s"))
+    checker.refused_writes.append("b")
     checker.finish(["b", "c", "c"], [(1, "d0"), (1, "d1")])
     assert violations(checker) == ["TWICE", "LOST", "REFUSED", "ONE:"]
 
