--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -107,7 +107,7 @@
         self.groups.pop(name).close()
         del self.takeovers[name]
         del self.peer_reachability[name]
-        self.proxy.log(PART, "group released", group=name)
+        self.proxy.log(PART, "group left to its owners", group=name)
 
     def start_for_peer(self, name):
         """The group that another daemon asks for, started if needed; None if unknown.
