--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -35,7 +35,7 @@
 
 
 def with_store(main):
-    """Run a test against a store of its own."""
+    """Run an async test body with a new stand-in store and its client."""
 
     async def body():
         object_store = ObjectStore()
@@ -44,7 +44,7 @@
     asyncio.run(body())
 
 
-def test_objects_are_created_replaced_on_condition_and_deleted():
+def test_objects_are_created_conditionally_replaced_and_deleted():
     async def main(object_store, client):
         made = await client.create("kind", "a", {"x": 1})
         with pytest.raises(Conflict):
@@ -60,7 +60,7 @@
     with_store(main)
 
 
-def test_long_lists_come_in_parts():
+def test_long_lists_are_paginated():
     async def main(object_store, client):
         for number in range(1201):
             object_store.put("kind", f"n{number:05}", {})
@@ -70,7 +70,7 @@
     with_store(main)
 
 
-def test_a_change_between_two_parts_of_a_list_is_told_by_the_watch():
+def test_watch_reports_a_change_made_between_two_list_pages():
     """Guards against a missed change of an object on an earlier page of a list.
 
     The watch continued from the revision of the last page, so a change made between two
@@ -99,7 +99,7 @@
     with_store(main)
 
 
-def test_a_watch_tells_changes_and_deletions():
+def test_watch_reports_changes_and_deletions():
     async def main(object_store, client):
         _, revision = await client.list_objects("kind")
         watching = asyncio.create_task(client.watch("kind", revision))
@@ -114,7 +114,7 @@
     with_store(main)
 
 
-def test_a_forgotten_history_is_told():
+def test_watch_from_a_discarded_revision_raises_history_gone():
     async def main(object_store, client):
         object_store.put("kind", "a", {})
         object_store.forget_history()
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_a_refusal_says_that_nothing_was_done(status):
+def test_rejected_write_is_reported_as_not_executed(status):
     async def main(object_store, client):
         object_store.refuse = status
         with pytest.raises(StoreError) as caught:
@@ -136,7 +136,7 @@
     with_store(main)
 
 
-def test_a_silent_store_is_an_error_of_ours(monkeypatch):
+def test_unresponsive_store_raises_store_error(monkeypatch):
     """Guards against a configuration that is never updated again.
 
     The HTTP client raised its own timeout error, although told not to, and that ended
@@ -153,7 +153,7 @@
 
 
 class ProxyDouble:
-    """Takes what feeds hand on."""
+    """Records the configurations and members that feeds apply."""
 
     def __init__(self):
         self.versions = []
@@ -161,37 +161,37 @@
         self.lines = []
 
     def log(self, part, event, **fields):
-        """Keep a line."""
+        """Record the part and event of a log line."""
         self.lines.append((part, event))
 
     def offer_catalog(self, candidate, source):
-        """A configuration."""
+        """Record the version of an offered configuration."""
         self.versions.append(candidate.version)
 
     def update_members(self, members):
-        """A whole list."""
+        """Replace all members."""
         self.members = {member.id: member for member in members}
 
     def update_member(self, member):
-        """One entry."""
+        """Add or replace one member."""
         self.members[member.id] = member
 
     def remove_member(self, upstream):
-        """An entry vanished."""
+        """Remove the member of a deleted entry."""
         self.members.pop(upstream, None)
 
 
 class DaemonsDouble(dict):
-    """Daemons by name."""
+    """Registered daemons by id."""
 
     @property
     def known(self):
-        """All of them."""
+        """The daemons by id."""
         return self
 
 
 class SystemProxyDouble(ProxyDouble):
-    """Keeps what was recorded_members of the groups' members."""
+    """Also keeps the registered daemons and the recorded members by group."""
 
     def __init__(self):
         super().__init__()
@@ -201,16 +201,16 @@
         self.recorded_members = {}
 
     def update_daemons(self, entries):
-        """The daemons that are registered."""
+        """Replace the registered daemons."""
         self.daemons = DaemonsDouble({entry.id: entry for entry in entries})
 
     def add_recorded_members(self, group, members):
-        """A record found at the start."""
+        """Keep the members that a stored record lists for a group."""
         self.recorded_members[group] = members
 
 
 def config(version):
-    """A small configuration."""
+    """Return a minimal configuration of the given version."""
     return {
         "configVersion": version,
         "routes": [],
@@ -220,7 +220,7 @@
 
 
 def entry(**changes):
-    """A small entry of an upstream."""
+    """Return the spec of an upstream entry, with `changes` applied."""
     spec = {
         "service": "g",
         "address": "10.0.0.1:1",
@@ -233,15 +233,15 @@
 
 
 async def wait_until(condition):
-    """Wait until a condition holds; pytest's own timeout would end a hang."""
+    """Poll a condition every 5 ms, 2000 times; pytest's timeout ends a hang."""
     for _ in range(2000):
         if condition():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("it never came")
+    raise AssertionError("condition not met after 2000 polls")
 
 
-def test_a_feed_lives_through_outages_and_lost_history():
+def test_feed_recovers_from_outage_and_lost_history():
     async def main(object_store, client):
         proxy = ProxyDouble()
         handler = ConfigHandler(proxy=proxy)
@@ -270,9 +270,9 @@
     with_store(main)
 
 
-def test_a_feed_tells_how_far_it_has_taken_all_in():
+def test_feed_reports_the_revision_it_has_caught_up_to():
     async def main(object_store, client):
-        told = []
+        revisions = []
         feed = Feed(
             store=client,
             kind="gypsumhitch",
@@ -280,44 +280,44 @@
             on_change=lambda change: None,
             log=ProxyDouble().log,
             waker=Waker(),
-            on_caught_up=told.append,
+            on_caught_up=revisions.append,
         )
         first = await client.create("gypsumhitch", "lease.a", {})
         await feed.poll_store()
         second = await client.create("gypsumhitch", "lease.b", {})
         await feed.poll_store()
-        assert first.revision <= told[0] < second.revision <= told[1]
+        assert first.revision <= revisions[0] < second.revision <= revisions[1]
         assert second.created == second.revision
 
     with_store(main)
 
 
-def test_one_feed_that_has_the_store_back_wakes_the_others():
+def test_feed_that_reaches_the_store_again_wakes_the_others():
     """Guards against a daemon that serves only seconds after the store is back.
 
     After a long outage each feed waited for the end of its own backoff.
     """
 
-    class Switched:
+    class SwitchableStore:
         """A store that is unavailable until told otherwise; counts the calls."""
 
         def __init__(self):
-            self.away = True
+            self.unavailable = True
             self.calls = {"first": 0, "second": 0}
 
         async def list_objects(self, kind):
-            """An empty list, or no answer."""
+            """Return an empty list, or raise while the store is unavailable."""
             self.calls[kind] += 1
-            if self.away:
-                raise StoreError("away", step="list", peer="store")
+            if self.unavailable:
+                raise StoreError("unavailable", step="list", peer="store")
             return [], 1
 
         async def watch(self, kind, revision, *, wait_ms):
-            """Nothing ever changes."""
+            """Block, as a watch without changes does."""
             await asyncio.sleep(1000)
 
     async def main():
-        store, waker, proxy = Switched(), Waker(), ProxyDouble()
+        store, waker, proxy = SwitchableStore(), Waker(), ProxyDouble()
         feeds = [
             Feed(
                 store=store,
@@ -332,7 +332,7 @@
         feeds[0].retry_backoff, feeds[1].retry_backoff = 0.05, 500.0
         tasks = [asyncio.create_task(feed.run()) for feed in feeds]
         await wait_until(lambda: store.calls["second"] == 1)
-        store.away = False
+        store.unavailable = False
         await wait_until(lambda: proxy.lines.count(("store", "regained")) == 2)
         assert store.calls["second"] == 2
         for task in tasks:
@@ -341,7 +341,7 @@
     asyncio.run(main())
 
 
-def test_an_unusable_configuration_or_entry_is_left_aside():
+def test_invalid_configuration_or_entry_is_ignored():
     proxy = ProxyDouble()
     broken = store_module.StoredObject(name="main", revision=3, spec={"routes": []})
     ConfigHandler(proxy=proxy).on_list([broken])
@@ -355,7 +355,7 @@
     assert ("store", "unusable entry") in proxy.lines
 
 
-def test_leases_are_taken_once_by_one():
+def test_lease_is_acquired_by_only_one_daemon():
     async def main(object_store, client):
         leases = StoreLeases(store=client)
         seen = await leases.read("g")
@@ -369,7 +369,7 @@
     with_store(main)
 
 
-def test_members_are_recorded_and_recalled_at_the_start_only():
+def test_recorded_members_are_loaded_only_from_the_first_list():
     async def main(object_store, client):
         records = StoreRecords(store=client, kind="gypsumhitch")
         member = Member(id="u", group="g", address="x:1", domain="a", slots=5, joined=3)
@@ -389,7 +389,7 @@
     with_store(main)
 
 
-def test_an_unusable_record_is_left_aside():
+def test_invalid_member_record_is_ignored():
     proxy = SystemProxyDouble()
     handler = SystemObjectHandler(proxy=proxy, own_name="d")
     spec = {"members": [{"id": "u"}]}
@@ -399,7 +399,7 @@
     assert proxy.lines == [("store", "unusable record")] * 2
 
 
-def test_an_unanswered_take_is_an_error_not_a_lease():
+def test_unanswered_acquire_raises_lease_error():
     async def main(object_store, client):
         leases = StoreLeases(store=client)
         object_store.lose = 1
@@ -410,7 +410,7 @@
     with_store(main)
 
 
-def test_promotions_are_ordered_with_holder_and_token():
+def test_promotion_requests_carry_holder_and_token():
     async def main(object_store, client):
         orders = []
 
@@ -429,7 +429,7 @@
     with_store(main)
 
 
-def test_after_a_failure_the_store_is_asked_with_short_waits():
+def test_first_watch_after_a_failure_is_short():
     """Guards against a configuration that takes effect seconds late.
 
     A long watch that was opened while the store was unresponsive was lost, but was
@@ -437,13 +437,13 @@
     """
 
     class SilentStore:
-        """Fails once, then answers; keeps the waits it was asked for."""
+        """Fails the first watch only; records the requested waits."""
 
         def __init__(self):
             self.waits = []
 
         async def watch(self, kind, revision, *, wait_ms):
-            """One watch."""
+            """Record the wait; raise on the first call."""
             self.waits.append(wait_ms)
             if len(self.waits) == 1:
                 raise StoreError("silent", step="watch", peer="store")
@@ -471,56 +471,56 @@
 
 
 class PageStore(Store):
-    """A store whose answers are given by hand."""
+    """A store client that returns the given response bodies in turn."""
 
     def __init__(self, *pages):
         super().__init__(address="127.0.0.1:1")
         self.pages = list(pages)
 
     async def call(self, step, kind, **options):
-        """The next answer."""
+        """Return the next response body."""
         return self.pages.pop(0)
 
 
 def listed(name):
-    """An item of a list."""
+    """Return a list item at revision 1 with an empty spec."""
     return {"meta": {"name": name, "revision": 1}, "spec": {}}
 
 
-def test_items_that_cannot_be_read_hide_no_others():
+def test_malformed_list_items_are_skipped():
     """Guards against losing all upstreams because of one malformed entry.
 
-    An object without a name ended the reading of the whole list.
+    An object without a name aborted the decoding of the whole list.
     """
     page = {"items": [listed("a"), {"meta": 3}, None, listed("b")], "storeRevision": 7}
     objects, revision = asyncio.run(PageStore(page).list_objects("servers"))
     assert ([obj.name for obj in objects], revision) == (["a", "b"], 7)
 
 
-def test_a_part_that_cannot_be_continued_is_an_error_not_an_endless_loop():
+def test_page_without_a_continuation_name_raises_store_error():
     page = {"items": [{"meta": 3}], "storeRevision": 7, "more": True}
     with pytest.raises(StoreError):
         asyncio.run(PageStore(page, page).list_objects("servers"))
 
 
 @pytest.mark.parametrize("page", [{}, {"items": 3, "storeRevision": 7}, {"items": []}])
-def test_an_answer_that_is_no_list_is_an_error(page):
+def test_malformed_list_response_raises_store_error(page):
     with pytest.raises(StoreError):
         asyncio.run(PageStore(page).list_objects("servers"))
 
 
-def test_events_that_cannot_be_read_hide_no_others():
+def test_malformed_watch_events_are_skipped():
     events = [3, {"object": listed("a"), "deleted": False}, {"object": None}]
     page = {"events": events, "storeRevision": 8}
     changes, revision = asyncio.run(PageStore(page).watch("servers", 7))
     assert ([change.obj.name for change in changes], revision) == (["a"], 8)
 
 
-def test_bytes_that_are_no_text_spoil_only_their_own_value():
+def test_invalid_utf8_affects_only_its_own_value():
     assert read_json(b'{"a": "\xff", "b": "x"}')["b"] == "x"
 
 
-def test_an_entry_that_turns_unusable_names_no_upstream_any_more():
+def test_entry_that_becomes_invalid_removes_its_upstream():
     proxy = ProxyDouble()
     handler = UpstreamHandler(store=None, log=proxy.log)
     handler.proxy = proxy
@@ -534,49 +534,49 @@
 
 
 class FollowerDouble:
-    """Hands out update that were given by hand, then says that nobody vouches."""
+    """Returns the given updates in turn, then has no confirmed watcher."""
 
-    def __init__(self, *update):
-        self.waiting = list(update)
+    def __init__(self, *updates):
+        self.waiting = list(updates)
         self.known = []
         self.daemons = self
 
     def watches(self):
-        """This daemon is no watcher."""
+        """Tell whether this daemon is a watcher: never."""
         return False
 
     def needs_watcher(self):
-        """It needs one."""
+        """Tell whether this daemon depends on a watcher: always."""
         return True
 
     def has_updates(self, kind):
-        """Tell whether there are update."""
+        """Tell whether updates are pending."""
         return bool(self.waiting)
 
     def is_up_to_date(self, kind):
-        """Tell whether a watcher vouches."""
+        """Tell whether a watcher confirms that this daemon is up to date."""
         return bool(self.waiting)
 
     def behind(self, kind):
-        """Tell whether the watcher knows more."""
+        """Tell whether the watcher has a newer revision: never."""
         return False
 
     async def next_update(self, kind, until):
-        """The next update."""
+        """Return the next update, or None."""
         return self.waiting.pop(0) if self.waiting else None
 
     def set_known_revision(self, kind, revision):
-        """What is known now."""
+        """Record the revision that the feed has applied."""
         self.known.append(revision)
 
     def store_lost(self, kind):
-        """The store does not answer."""
+        """Ignore that the store became unavailable."""
 
     def store_recovered(self, kind):
-        """The store answers."""
+        """Ignore that the store is available again."""
 
 
-def test_news_that_were_passed_on_are_taken_like_those_of_the_store():
+def test_relayed_updates_are_applied_like_store_changes():
     def update(revision, names=(), removed=(), whole=False):
         changed = {
             name: {"name": name, "revision": revision, "spec": {}, "created": 1}
@@ -615,25 +615,25 @@
     with_store(main)
 
 
-def test_followers_leave_a_store_that_is_away_alone():
+def test_followers_call_an_unavailable_store_less_often():
     """Guards against the cost of a fleet's calls to an unavailable store.
 
     Without a confirmed watcher each daemon called for each kind every second, though
     its watchers relay the updates later.
     """
 
-    class AwayStore:
-        """Refuses everything; counts the calls."""
+    class UnavailableStore:
+        """Fails every watch; counts the calls."""
 
         calls = 0
 
         async def watch(self, kind, revision, *, wait_ms):
-            """One watch."""
+            """Count the call and raise."""
             self.calls += 1
-            raise StoreError("away", step="watch", peer="store")
+            raise StoreError("unavailable", step="watch", peer="store")
 
     async def calls_in(seconds, follower, seed):
-        store = AwayStore()
+        store = UnavailableStore()
         feed = Feed(
             store=store,
             kind="k",
@@ -658,40 +658,40 @@
         assert 2 * follower <= watcher
 
 
-def test_who_becomes_a_watcher_in_the_middle_of_a_call_passes_on_no_part_of_a_list():
-    """Guards against followers that know one upstream of thirty.
+def test_new_watcher_relays_only_after_a_full_list():
+    """Guards against followers that know only a part of the upstreams (one of thirty).
 
     A follower that became a watcher during its own watch relayed the change of that
-    answer as if it followed on a list, which it had never relayed.
+    answer as if it continued a list that it had never relayed.
     """
 
     class Store:
-        """One object listed, another one changed; what a call ends, it begins with."""
+        """Lists one object; its watch changes another and makes this a watcher."""
 
         def __init__(self, follower):
             self.follower = follower
 
         async def list_objects(self, kind):
-            """The whole list."""
+            """Return the whole list."""
             return [StoredObject(name="a", revision=1, spec={})], 1
 
         async def watch(self, kind, revision, *, wait_ms):
-            """A change, and this daemon is a watcher from now on."""
+            """Make this daemon a watcher and return one change."""
             self.follower.watcher = True
             obj = StoredObject(name="b", revision=2, spec={})
             return [store_module.Change(obj=obj, deleted=False)], 2
 
-    class Turning(FollowerDouble):
-        """A daemon that becomes a watcher."""
+    class BecomesWatcher(FollowerDouble):
+        """A follower that can become a watcher."""
 
         watcher = False
 
         def watches(self):
-            """Tell whether it is one now."""
+            """Tell whether this daemon is a watcher now."""
             return self.watcher
 
     async def main():
-        follower = Turning()
+        follower = BecomesWatcher()
         relay = Relay(clock=time.monotonic, in_touch_for=5.0, watches=lambda: True)
         feed = Feed(
             store=Store(follower),
