--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces and keys as the operator writes them, and as daemons pass them on."""
+"""Workspaces and API keys in the configuration and in what daemons relay."""
 
 import json
 
@@ -32,12 +32,12 @@
     assert catalog.key_workspaces[digest_of(b"s1")] == "south"
 
 
-def test_without_the_part_callers_need_no_key():
+def test_configuration_without_workspaces_requires_no_key():
     catalog = read_catalog(CONFIG)
     assert not catalog.requires_key(catalog.routes["orders"])
 
 
-def test_with_an_empty_part_nobody_has_one():
+def test_empty_workspace_list_requires_a_key_and_accepts_none():
     catalog = read_catalog({**CONFIG, "tenants": []})
     assert catalog.requires_key(catalog.routes["orders"])
     assert catalog.key_workspaces == {}
@@ -58,8 +58,8 @@
         None,
     ],
 )
-def test_unusable_workspaces_make_the_whole_version_unusable(tenants):
-    """The one in force stays, and no key is in what is logged of it."""
+def test_invalid_workspaces_invalidate_the_whole_configuration(tenants):
+    """The configuration in force is kept, and the log line contains no key."""
 
     async def main():
         rig = Rig(keys=KEYS)
@@ -67,18 +67,17 @@
         spec = {**CONFIG, "configVersion": 9, "tenants": tenants}
         handler.take(StoredObject(name=CONFIG_NAME, revision=5, spec=spec))
         assert rig.proxy.catalog.version == 1
-        told = [line for line in rig.lines if line[2] == "unusable configuration"]
-        assert len(told) == 1
-        assert "n1" not in repr(told)
+        log_lines = [line for line in rig.lines if line[2] == "unusable configuration"]
+        assert len(log_lines) == 1
+        assert "n1" not in repr(log_lines)
 
     run(main())
 
 
-def test_what_is_passed_to_other_daemons_has_digests_for_keys():
-    """Symptom: keys travel between daemons, and lie in the memory of each.
+def test_relayed_configuration_has_digests_instead_of_keys():
+    """Guards against API keys sent between daemons and kept in the memory of each.
 
-    Sequence: a watcher passes the configuration on. Cause: objects were passed on as
-    the store has them.
+    A watcher that relayed the configuration sent the object as the store has it.
     """
     obj = StoredObject(name=CONFIG_NAME, revision=5, spec=KEYED)
     passed = without_keys(to_builtins(obj))
@@ -87,15 +86,15 @@
     assert without_keys(passed) == passed
 
 
-def test_a_feed_passes_on_what_it_is_told_to():
-    class Taker:
+def test_feed_applies_its_relay_transform():
+    class RelayDouble:
         def __init__(self):
             self.passed = None
 
         def take_all(self, kind, found, revision):
             self.passed = found
 
-    relay = Taker()
+    relay = RelayDouble()
     feed = Feed(
         store=None,
         kind="config",
@@ -110,13 +109,13 @@
     assert "apiKeys" not in json.dumps(relay.passed)
 
 
-def test_a_malformed_part_stays_unusable_when_it_is_passed_on():
+def test_malformed_workspaces_stay_invalid_when_relayed():
     obj = StoredObject(name=CONFIG_NAME, revision=5, spec={**KEYED, "tenants": [7]})
     with pytest.raises(ValueError):
         read_catalog(without_keys(to_builtins(obj))["spec"])
 
 
-def test_an_unknown_key_is_refused_and_the_connection_closed():
+def test_unknown_key_is_refused_and_the_connection_closed():
     async def main():
         rig = Rig(keys=KEYS)
         await rig.settle()
@@ -132,7 +131,7 @@
     run(main())
 
 
-def test_a_key_of_other_letters_than_ascii_works():
+def test_non_ascii_key_is_accepted():
     async def main():
         rig = Rig(keys={"north": ["schlüssel"]})
         await rig.settle()
@@ -143,9 +142,11 @@
 
 
 @pytest.mark.parametrize(
-    ("workspace", "who"), [("north", "north"), ("", DEFAULT_CLIENT_NAME)]
+    ("workspace", "client_name"), [("north", "north"), ("", DEFAULT_CLIENT_NAME)]
 )
-def test_an_upstream_is_told_whose_statements_come(monkeypatch, workspace, who):
+def test_startup_names_the_workspace_to_the_upstream(
+    monkeypatch, workspace, client_name
+):
     async def main():
         rig = Rig()
         sent = []
@@ -167,6 +168,6 @@
             id="u1", group="db", address="127.0.0.1:1", domain="a", slots=1
         )
         await WireDialer().dial(member, timeout=1.0, workspace=workspace)
-        assert sent == [f"STARTUP db {who} u1\r\n".encode()]
+        assert sent == [f"STARTUP db {client_name} u1\r\n".encode()]
 
     run(main())
