--- a/tests/standins/objectstore.py
+++ b/tests/standins/objectstore.py
@@ -1,4 +1,4 @@
-"""A small object store over HTTP, as the users' pages describe it, with faults."""
+"""An object store over HTTP with fault injection, after the users' API pages."""
 
 import asyncio
 import json
@@ -11,14 +11,15 @@
 
 LIST_SIZE = 500
 MAX_VALUE = 1 << 20
-# Bytes that a slow link carries at a time, and seconds for which a silent one is so.
+# Bytes written at a time over a slow link, and seconds for which a stalled answer
+# sends nothing.
 TRICKLE_BYTES = 8 << 10
 STALL_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoreCopy:
-    """What a store holds at a moment."""
+    """A snapshot of a store, to restore from."""
 
     revision: int
     kinds: dict
@@ -26,13 +27,13 @@
 
 
 class ObjectStore:
-    """Objects by kind and name, one rising revision, a history for watches.
+    """Objects by kind and name, one increasing revision, a history for watches.
 
-    `refuse` is a status that every call gets; `silent` holds every answer back, `slow`
-    for some seconds; `lose` is how many writes are done and not answered; `rate` is how
-    many bytes a second each answer comes in, 0 for at once; `stall_after` is how many
-    bytes come before an answer stands still, 0 for none that does. Every answer names
-    the `era`, unless that is 0.
+    Faults: `refuse` is an HTTP status that every call gets, 0 for none; `silent` blocks
+    every answer, `slow` delays it by that many seconds; `lose` is the number of writes
+    that are executed but not answered; `rate` limits list and watch answers to bytes
+    per second, 0 for no limit; `stall_after` is the number of bytes after which such an
+    answer stalls, 0 for never. Every answer names the `era`, unless that is 0.
     """
 
     def __init__(self):
@@ -53,7 +54,7 @@
         self.promote = None
 
     def put(self, kind, name, spec):
-        """Write an object, whatever it was."""
+        """Create or replace an object unconditionally; return it."""
         self.revision += 1
         known = self.kinds.setdefault(kind, {}).get(name)
         created = known["meta"]["createdRev"] if known else self.revision
@@ -70,7 +71,7 @@
         return obj
 
     def remove(self, kind, name):
-        """Delete an object."""
+        """Delete an object; return it, or None if there was none."""
         obj = self.kinds.get(kind, {}).pop(name, None)
         if obj is not None:
             self.revision += 1
@@ -78,18 +79,18 @@
         return obj
 
     def note(self, kind, obj, *, deleted):
-        """Keep a change for watches and wake them."""
+        """Append a change to the history and wake the watches."""
         self.history.append((self.revision, kind, {"object": obj, "deleted": deleted}))
         self.changed.set()
         self.changed = asyncio.Event()
 
     def forget_history(self):
-        """Drop the history: watches from before get 410."""
+        """Drop the history: watches from an earlier revision get 410."""
         self.oldest = self.revision
         self.history.clear()
 
     def copy(self):
-        """A copy to return from."""
+        """Return a snapshot for `return_from`."""
         return StoreCopy(
             revision=self.revision,
             kinds=deepcopy(self.kinds),
@@ -97,14 +98,17 @@
         )
 
     def return_from(self, copy):
-        """Return from a copy: what came after it is lost, its revisions come again."""
+        """Restore a snapshot: later changes are lost and their revisions are reused."""
         self.era += 1
         self.revision = copy.revision
         self.kinds = deepcopy(copy.kinds)
         self.history = list(copy.history)
 
     def listen(self, port=0, more=()):
-        """Serve on a port, of the system's choice if 0; returns the address."""
+        """Serve on a port, an ephemeral one if 0; return the address.
+
+        `more` are further (path, handler) pairs.
+        """
         sockets = bind_sockets(port, "127.0.0.1")
         shared = {"store": self}
         app = Application(
@@ -121,19 +125,19 @@
 
 
 class StoreHandler(RequestHandler):
-    """What all calls share: faults, JSON."""
+    """Base of the handlers: applies the faults and answers with JSON."""
 
     def initialize(self, store):
-        """Take the store."""
+        """Set the store to serve."""
         self.store = store
 
     def name_era(self):
-        """Name the era that the store is in as it answers."""
+        """Set the header with the era at the time of the answer."""
         if self.store.era:
             self.set_header("Store-Era", str(self.store.era))
 
     async def prepare(self):
-        """Apply the faults."""
+        """Apply the faults that precede an answer; refuse bodies over MAX_VALUE."""
         self.store.calls.append((self.request.method, self.request.uri))
         if self.store.slow:
             await asyncio.sleep(self.store.slow)
@@ -148,7 +152,7 @@
             self.finish()
 
     def answer(self, body, status=200):
-        """Answer with JSON, unless the answer is to be lost."""
+        """Answer with JSON; while `lose` is set, close the connection of a write."""
         if self.request.method != "GET" and self.store.lose:
             self.store.lose -= 1
             self.request.connection.stream.close()
@@ -160,7 +164,7 @@
         self.finish(json.dumps(body))
 
     async def deliver(self, body):
-        """Answer as over a slow link, or one that goes silent in the middle."""
+        """Answer at the configured rate, stalling after `stall_after` bytes."""
         if not (self.store.rate or self.store.stall_after):
             self.answer(body)
             return
@@ -180,10 +184,10 @@
 
 
 class KindHandler(StoreHandler):
-    """Lists, watches, creates."""
+    """Lists and watches a kind, and creates objects of it."""
 
     async def get(self, kind):
-        """The objects of a kind, or what has changed."""
+        """Answer with a page of the kind's objects, or with its changes."""
         since = self.get_query_argument("watch", None)
         if since is not None:
             await self.watch(kind, int(since))
@@ -196,7 +200,11 @@
         await self.deliver(body)
 
     async def watch(self, kind, since):
-        """Changes since a revision, as soon as there is one."""
+        """Answer with the changes since a revision, once there is one.
+
+        Without a change the answer is empty after `waitMs`; a revision that is ahead of
+        the store or older than its history gets 410.
+        """
         if since > self.store.revision:
             self.answer({"error": "gone"}, 410)
             return
@@ -218,7 +226,7 @@
         await self.deliver({"events": events, "storeRevision": self.store.revision})
 
     async def wait(self, seconds):
-        """Wait for a change."""
+        """Wait for a change, at most for `seconds`."""
         try:
             async with asyncio.timeout(seconds):
                 await self.store.changed.wait()
@@ -226,7 +234,7 @@
             return
 
     def post(self, kind):
-        """Create an object."""
+        """Create an object; 409 with the present one if it exists."""
         body = json.loads(self.request.body)
         name = body["meta"]["name"]
         known = self.store.kinds.get(kind, {}).get(name)
@@ -237,15 +245,15 @@
 
 
 class NameHandler(StoreHandler):
-    """One object."""
+    """Reads, replaces and deletes one object."""
 
     def get(self, kind, name):
-        """The object, or 404."""
+        """Answer with the object, or 404."""
         known = self.store.kinds.get(kind, {}).get(name)
         self.answer(known or {"error": "missing"}, 200 if known else 404)
 
     def put(self, kind, name):
-        """Replace the object if it is at the given revision."""
+        """Replace the object; 409 if it is not at the given revision."""
         body = json.loads(self.request.body)
         known = self.store.kinds.get(kind, {}).get(name)
         if known is None:
@@ -258,7 +266,7 @@
         self.answer(self.store.put(kind, name, body["spec"]))
 
     def delete(self, kind, name):
-        """Delete the object, if it is at the given revision."""
+        """Delete the object; 409 if it is not at the given revision."""
         known = self.store.kinds.get(kind, {}).get(name)
         expected = int(self.get_query_argument("revision", "0"))
         if known is not None and expected not in (0, known["meta"]["revision"]):
@@ -269,10 +277,10 @@
 
 
 class PromoteHandler(StoreHandler):
-    """The platform's call that promotes."""
+    """Handles the platform's promotion call."""
 
     def post(self):
-        """Hand the order to whoever plays the group."""
+        """Pass the request to `store.promote`; 409 if it is refused."""
         body = json.loads(self.request.body)
         token = int(self.request.headers["X-Fencing-Token"])
         self.store.orders.append((token, self.request.headers["X-Lease-Holder"]))
