--- a/tests/standins/wireupstream.py
+++ b/tests/standins/wireupstream.py
@@ -1,4 +1,4 @@
-"""Upstreams that speak the platform's wire over TCP, backed by a group in memory."""
+"""Upstreams that speak the wire protocol over TCP, backed by an in-memory group."""
 
 import asyncio
 
@@ -24,11 +24,11 @@
     "PAUSE": StatementKind.PAUSE_REPLICATION,
     "STEPDOWN": StatementKind.STEP_DOWN,
 }
-ANSWER_LIMIT = 3600.0
+ANSWER_TIMEOUT = 3600.0
 
 
 async def listen(member):
-    """Serve one member on a port of the system's choice: (server, address)."""
+    """Serve one member on an ephemeral port; return (server, address)."""
     server = await asyncio.start_server(
         lambda reader, writer: serve(member, reader, writer), "127.0.0.1", 0
     )
@@ -37,18 +37,18 @@
 
 
 async def serve(member, reader, writer):
-    """One connection: its opening, then its statements in turn."""
+    """Serve one connection: its STARTUP line, then its statements in order."""
     conn = FakeConn(member=member, loop=asyncio.get_running_loop())
     texts = asyncio.Queue()
-    reading = asyncio.create_task(read_texts(reader, conn, texts))
+    reading = asyncio.create_task(read_lines(reader, conn, texts))
     opened = False
     try:
         while (text := await texts.get()) is not None and not member.dead:
             if opened:
-                writer.write(await answer(conn, text))
+                writer.write(await run_query(conn, text))
                 await writer.drain()
                 continue
-            opened = open_for(member, text, writer, conn)
+            opened = handle_startup(member, text, writer, conn)
             if not opened:
                 return
     except (ConnectionError, UpstreamError):
@@ -59,11 +59,11 @@
         writer.close()
 
 
-async def read_texts(reader, conn, texts):
-    """Read lines; the end of the connection ends what waits on it.
+async def read_lines(reader, conn, texts):
+    """Queue the lines of a connection; close `conn` when the connection ends.
 
-    What goes wrong without it: an upstream that stood still runs what its caller has
-    long given up and closed.
+    Otherwise an upstream that was frozen would run statements whose caller has already
+    given up and closed the connection.
     """
     splitter = LineSplitter()
     try:
@@ -76,8 +76,8 @@
     texts.put_nowait(None)
 
 
-def open_for(member, text, writer, conn):
-    """Answer the opening; a wrong group or id is refused."""
+def handle_startup(member, text, writer, conn):
+    """Answer the STARTUP line; refuse a wrong group or id. Return whether accepted."""
     word, rest = split_line(text)
     group, conn.workspace, expected = rest.split(" ")
     if word != "STARTUP" or group != member.group.name or expected != member.id:
@@ -87,8 +87,8 @@
     return True
 
 
-async def answer(conn, text):
-    """Answer one QUERY line."""
+async def run_query(conn, text):
+    """Run one QUERY line and return the encoded reply."""
     _, rest = split_line(text)
     request, query = split_line(rest)
     after = None
@@ -97,15 +97,15 @@
         after = read_position(position)
     reply = await conn.ask(
         read_query(query),
-        timeout=ANSWER_LIMIT,
+        timeout=ANSWER_TIMEOUT,
         request="" if request == "-" else request,
         after=after,
     )
-    return encode(reply)
+    return encode_reply(reply)
 
 
 def read_query(text):
-    """A statement of a caller, or a command."""
+    """Parse a caller's statement or a command such as STATUS."""
     word, rest = split_line(text)
     kind = COMMAND_BY_WORD.get(word)
     if kind is not None:
@@ -124,11 +124,13 @@
     return statement
 
 
-def encode(reply):
-    """A reply as lines; statuses become rows of fields."""
+def encode_reply(reply):
+    """Encode a reply as lines; a status becomes a row of its fields."""
     lines = []
     for row in reply.rows:
-        lines.append(line(f"DATAROW {row if isinstance(row, str) else fields(row)}"))
+        lines.append(
+            line(f"DATAROW {row if isinstance(row, str) else format_status(row)}")
+        )
     if reply.ok:
         lines.append(line(f"COMPLETE {reply.proof or '-'}"))
     else:
@@ -137,8 +139,8 @@
     return b"".join(lines)
 
 
-def fields(status):
-    """The row of a status."""
+def format_status(status):
+    """Format a status as a row."""
     role = "primary" if status.leads else "replica"
     received = f"{status.received.term}.{status.received.index}"
     return f"{role} {status.term} {received} {status.paused_term} 0 0 1"
