--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -19,31 +19,31 @@
 
 
 class SwitchHandler(RequestHandler):
-    """A test switch: it works whatever is wrong with the store."""
+    """Base of the test switches, which the store's faults don't affect."""
 
     def initialize(self, store):
-        """Take the store."""
+        """Set the store that the switch controls."""
         self.store = store
 
 
 class InstancesHandler(SwitchHandler):
-    """The instance list."""
+    """Handles `/instances`."""
 
     def put(self):
-        """Set the list."""
+        """Replace the instance list."""
         self.store.put(INSTANCE_KIND, INSTANCE_NAME, json.loads(self.request.body))
         self.finish({})
 
 
 class FaultsHandler(SwitchHandler):
-    """What is wrong, and how many calls came."""
+    """Handles `/faults`: active faults and the call counts."""
 
     def get(self):
-        """Calls by method."""
+        """Return the number of calls by HTTP method."""
         self.finish({"calls": Counter(method for method, _ in self.store.calls)})
 
     def put(self):
-        """Set the faults; what is left out is well again."""
+        """Set the faults; those left out are cleared."""
         faults = json.loads(self.request.body)
         self.store.refuse = DOWN if faults.get("down") else 0
         self.store.slow = faults.get("slow_s", 0.0)
@@ -52,7 +52,7 @@
 
 
 async def main(port):
-    """Serve until killed."""
+    """Serve on `port` until killed; 0 picks an ephemeral port."""
     store = ObjectStore()
     store.put(INSTANCE_KIND, INSTANCE_NAME, {"instances": []})
     switches = ((r"/instances", InstancesHandler), (r"/faults", FaultsHandler))
