--- a/tests/standins/platformworld.py
+++ b/tests/standins/platformworld.py
@@ -1,4 +1,4 @@
-"""Real daemons of the platform's form over stand-ins: a store, one group, callers."""
+"""Platform daemons as processes, with a stand-in store, one group, and callers."""
 
 import asyncio
 import json
@@ -21,18 +21,19 @@
 UNLISTED_AFTER = 1.0
 MAX_TRIES = 600
 TRY_INTERVAL = 0.05
-ANSWER_LIMIT = 30.0
-# A daemon that stands still answers no probe: it is not ready, seconds.
-READY_LIMIT = 2.0
+ANSWER_TIMEOUT = 30.0
+# In seconds. A daemon that answers no probe within it, such as a frozen one, is not
+# ready.
+READY_TIMEOUT = 2.0
 PORT_CALLS = count()
-# Connections that an upstream takes: enough for all daemons to hold some.
+# Connections that an upstream accepts: enough for every daemon to hold some.
 CONNECTIONS = 40
 
 
 def configuration(version=1, connections=CONNECTIONS, tenants=None):
-    """The operator's configuration: one database for each kind of route.
+    """Return a configuration with one database for each kind of route.
 
-    With `tenants` callers have to show a key of one of them.
+    With `tenants`, callers must present an API key of one of them.
     """
     routes = [
         route("own", "read_your_writes", maxStalenessMs=2500),
@@ -49,7 +50,7 @@
 
 
 def route(database, kind, **more):
-    """One route."""
+    """Return a route to GROUP for a database, with `more` fields."""
     return {
         "name": f"r-{database}",
         "databaseName": database,
@@ -62,7 +63,7 @@
 
 
 class World:
-    """Stand-ins in this process, daemons as processes of their own."""
+    """Runs the stand-ins in this process and each daemon in its own process."""
 
     def __init__(self, *, folder, connections=CONNECTIONS, tenants=None):
         self.folder = Path(folder)
@@ -77,7 +78,7 @@
         self.highest = 0
 
     async def start(self, daemons=3):
-        """Start everything; returns when all daemons are ready."""
+        """Start the stand-ins and daemons; return when all daemons are ready."""
         self.store.promote = self.promote
         spec = configuration(connections=self.connections, tenants=self.tenants)
         self.store.put(CONFIG_KIND, CONFIG_NAME, spec)
@@ -91,7 +92,7 @@
             await self.wait_ready(name)
 
     def list_member(self, member):
-        """Write a member's entry."""
+        """Write a member's upstream entry to the store."""
         spec = {
             "service": GROUP,
             "address": self.addresses[member.id],
@@ -103,7 +104,10 @@
         self.store.put(UPSTREAM_KIND, member.id, spec)
 
     def promote(self, group, upstream, token):
-        """The platform's call: fenced, in effect a moment later."""
+        """Accept a promotion unless its token is outdated or the member is dead.
+
+        It takes effect after PROMOTE_TIME seconds. Returns whether it was accepted.
+        """
         member = self.group[upstream]
         if token < self.highest or member.dead:
             return False
@@ -113,14 +117,14 @@
         return True
 
     def promoted(self, upstream):
-        """The promotion takes effect, and members report it."""
+        """Apply a promotion and update the entries of the live members."""
         self.group.promote(upstream)
         for member in self.group.members:
             if not member.dead:
                 self.list_member(member)
 
     async def start_daemon(self, name):
-        """Start one daemon on ports of the system's choice."""
+        """Start one daemon on free ports, or on those that it had before."""
         ports = self.ports.setdefault(name, [free_port() for _ in range(3)])
         settings = {
             "daemon": name,
@@ -134,19 +138,19 @@
         self.daemons[name] = await start_process(self.folder, settings)
 
     async def wait_ready(self, name):
-        """Wait until a daemon says that it is ready."""
+        """Wait until a daemon reports that it is ready."""
         for _ in range(MAX_TRIES):
             if await self.is_ready(name):
                 return
             await asyncio.sleep(TRY_INTERVAL)
-        raise AssertionError(f"{name} did not get ready")
+        raise AssertionError(f"{name} did not become ready")
 
     async def is_ready(self, name):
-        """Ask a daemon whether it is ready."""
+        """Tell whether a daemon reports that it is ready."""
         return await probe_ready(self.ports[name][1])
 
     def crash(self, upstream):
-        """An upstream dies; its entry vanishes a moment later."""
+        """Crash an upstream; its entry is removed UNLISTED_AFTER seconds later."""
         member = self.group[upstream]
         self.servers[upstream].close()
         member.crash()
@@ -154,13 +158,13 @@
         loop.call_later(UNLISTED_AFTER, self.store.remove, UPSTREAM_KIND, upstream)
 
     async def stop(self, name, number=signal.SIGTERM):
-        """Signal a daemon and wait for its end; returns its exit code."""
+        """Signal a daemon and wait for its exit; return its exit code."""
         daemon = self.daemons.pop(name)
         daemon.send_signal(number)
         return await daemon.wait()
 
     async def close(self):
-        """End what is still running."""
+        """Kill the remaining daemons and close the upstreams' servers."""
         for name in list(self.daemons):
             await self.stop(name, signal.SIGKILL)
         for server in self.servers.values():
@@ -168,7 +172,7 @@
 
 
 async def start_process(folder, settings):
-    """Start a daemon's process; its settings and log lie in the folder."""
+    """Start a daemon's process; its settings and log are in the folder."""
     path = folder / f"{settings['daemon']}.json"
     path.write_text(json.dumps(settings))
     with (folder / f"{settings['daemon']}.log").open("ab") as log:
@@ -184,11 +188,11 @@
 
 
 async def probe_ready(port):
-    """Ask the daemon at a port for probes whether it takes callers."""
+    """Ask the daemon with this probe port whether it accepts callers."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        async with asyncio.timeout(READY_LIMIT):
+        async with asyncio.timeout(READY_TIMEOUT):
             line = await reader.readline()
         writer.close()
     except OSError:
@@ -198,7 +202,7 @@
 
 @asynccontextmanager
 async def world(folder, daemons=3):
-    """A world that is ended afterwards."""
+    """Start a world and close it afterwards."""
     made = World(folder=folder)
     try:
         await made.start(daemons)
@@ -208,7 +212,7 @@
 
 
 class Client:
-    """One caller's connection."""
+    """A caller's connection to a daemon."""
 
     def __init__(self, *, reader, writer, name):
         self.reader = reader
@@ -219,7 +223,7 @@
 
     @property
     def next_request(self):
-        """The id that the next statement will have."""
+        """The request id of the next statement."""
         return f"{self.name}-{self.sent + 1}"
 
     @classmethod
@@ -233,15 +237,15 @@
         return client
 
     async def line(self):
-        """The next line; ConnectionError at the end."""
-        async with asyncio.timeout(ANSWER_LIMIT):
+        """Return the next line; ConnectionError if the connection is closed."""
+        async with asyncio.timeout(ANSWER_TIMEOUT):
             text = await self.reader.readline()
         if not text:
             raise ConnectionError("closed")
         return text.decode().rstrip("\r\n")
 
     async def query(self, text):
-        """Run a statement; (rows, COMPLETE or ERROR with its code)."""
+        """Run a statement; return (rows, "COMPLETE" or the error code)."""
         self.sent += 1
         self.writer.write(f"QUERY {self.name}-{self.sent} {text}\r\n".encode())
         rows, end = [], ""
@@ -272,13 +276,13 @@
         self.running = True
 
     async def run(self, callers=6):
-        """Run callers until told to stop."""
+        """Run callers until `running` is false."""
         async with asyncio.TaskGroup() as group:
             for number in range(callers):
                 group.create_task(self.caller(number))
 
     async def caller(self, number):
-        """One caller; it comes back elsewhere when its connection ends."""
+        """Run one caller; it reconnects to the next daemon when its connection ends."""
         turn = number
         while self.running:
             turn += 1
@@ -297,7 +301,7 @@
                 client.close()
 
     async def session(self, client):
-        """Write and read until the end or the connection's."""
+        """Write and read back until the load stops or the connection ends."""
         while self.running:
             data = f"{client.name}x{client.sent}"
             self.in_doubt.append(data)
@@ -312,13 +316,13 @@
             await asyncio.sleep(TRY_INTERVAL / 5)
 
     async def read_back(self, client, data):
-        """The session's next read shows its last write."""
+        """Record a stale read if the session's next read lacks its last write."""
         rows, end = await client.query(f"READ {client.name}")
         if end == "COMPLETE" and rows != [data]:
             self.stale.append((data, rows))
 
     def violations(self):
-        """Broken promises: what was lost, run twice, or run though refused."""
+        """Return the lost, duplicate, refused but run, and stale data by violation."""
         log = [data for entry in self.made.group.leader.log for _, data in entry.writes]
         lost = [data for data in self.acknowledged if data not in log]
         twice = [data for data in set(log) if log.count(data) > 1]
@@ -335,7 +339,7 @@
         }
 
     async def wait_acknowledged(self, more):
-        """Wait until so many more writes were acknowledged."""
+        """Wait until `more` further writes are acknowledged."""
         goal = len(self.acknowledged) + more
         for _ in range(MAX_TRIES):
             if len(self.acknowledged) >= goal:
@@ -347,7 +351,7 @@
 
 
 def free_port():
-    """A port that is free now, of those that the system gives nobody by itself."""
+    """Return a port that is free now, below the ephemeral range of the system."""
     for port in range(next_port(), 32000):
         with socket.socket() as sock:
             try:
@@ -359,5 +363,5 @@
 
 
 def next_port():
-    """A starting point that differs between processes and calls."""
+    """Return a first port to try, which differs between processes and calls."""
     return 20000 + (os.getpid() * 37 + next(PORT_CALLS) * 11) % 11000
