--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,10 +1,10 @@
-"""`bench.days`: tables of the users' journal."""
+"""Tests the tables that `bench.days` makes of the users' journal."""
 
 from bench.days import RULES, trouble_table, worth_table
 
 
 def day(name, troubles, rules):
-    """One played day as the journal has it."""
+    """Return the journal record of one simulated day."""
     return {
         "name": name,
         "troubles": troubles,
@@ -25,7 +25,7 @@
 ]
 
 
-def test_a_trouble_is_counted_against_each_rule_that_its_days_broke():
+def test_trouble_table_counts_violations_by_trouble_and_rule():
     head, _, crash, cut = trouble_table(DAYS)
     assert head.split("|")[3].strip() == RULES[0]
     cells = dict(zip(head.split("|"), cut.split("|"), strict=True))
@@ -35,7 +35,7 @@
     assert set(crash.split("|")[3:-1]) == {" - "}
 
 
-def test_the_newest_score_of_a_day_counts():
+def test_worth_table_uses_the_newest_score_of_a_day():
     newer = (ENTRY, {**day("one", [], {}), "G": 0.5})
     rows = list(worth_table([*DAYS, newer]))
     assert len(rows) == 4
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The platform's form as processes: kills, a dead primary, a drain, a store away."""
+"""Platform daemons as processes: kills, a dead primary, a drain, a store outage."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 
 def run_under_load(tmp_path, steps):
-    """Run steps under load; nothing may be broken afterwards."""
+    """Run steps under load and check that the load saw no violations."""
 
     async def main():
         async with world(tmp_path) as made:
@@ -28,7 +28,7 @@
     return asyncio.run(main())
 
 
-def test_a_dead_primary_is_replaced_under_load(tmp_path):
+def test_dead_primary_is_replaced_under_load(tmp_path):
     async def steps(made, load):
         made.crash("u1")
         await load.wait_acknowledged(100)
@@ -49,7 +49,7 @@
     run_under_load(tmp_path, steps)
 
 
-def test_the_store_is_away_and_a_configuration_comes(tmp_path):
+def test_configuration_changed_during_a_store_outage_is_applied(tmp_path):
     async def steps(made, load):
         made.store.refuse = 503
         await load.wait_acknowledged(50)
@@ -59,7 +59,7 @@
 
     run_under_load(tmp_path, steps)
     texts = (tmp_path / "d0.log").read_text().splitlines()
-    # Every line is JSON, also those of the libraries.
+    # Every log line is JSON, including those of the libraries.
     lines = [json.loads(text) for text in texts]
     versions = [
         line["version"] for line in lines if line["event"] == "configuration in force"
