--- a/packages/daemon/gypsum_daemon/shell.py
+++ b/packages/daemon/gypsum_daemon/shell.py
@@ -69,7 +69,7 @@
             actions.Reply: self.reply,
             actions.SetTimer: self.set_timer,
             actions.Log: self.log,
-            actions.SetPoolSize: self.executor.warm,
+            actions.SetPoolSize: self.executor.set_pool_size,
             actions.DropConnections: self.executor.drop_connections,
             actions.DropLink: self.drop_link,
             actions.RecordStatus: self.record_leader_status,
--- a/packages/upstream/gypsum_upstream/executor.py
+++ b/packages/upstream/gypsum_upstream/executor.py
@@ -83,7 +83,7 @@
             self.tasks[action.op] = task
             task.add_done_callback(lambda _: self.tasks.pop(action.op, None))
 
-    def warm(self, action):
+    def set_pool_size(self, action):
         """Set the bounds of one pool."""
         pool = self.pool(action.database, action.upstream)
         pool.resize(limit=action.limit, target=action.connections)
