--- a/bench/manifests.py
+++ b/bench/manifests.py
@@ -10,7 +10,8 @@
 def time_in_force(*, daemons, domains, outage=0.0):
     """Return the seconds from a manifest's acceptance until all daemons use it.
 
-    With an `outage`, the platform fails after it has told one watcher of the change.
+    With an `outage`, the platform fails after it has notified one watcher of the
+    change.
     """
     world = World(daemons=daemons, domains=domains)
     world.run(4.0)
--- a/packages/cli/gypsum_cli/apply.py
+++ b/packages/cli/gypsum_cli/apply.py
@@ -15,7 +15,7 @@
 
 
 async def apply(command):
-    """Store a manifest if nobody else has changed it."""
+    """Store a manifest unless it was changed meanwhile."""
     manifest = read_manifest(command.manifest)
     client = make_platform_client(command.platform)
     stored = await client.get_object(OBJECT_KIND, manifest.database)
--- a/packages/core/gypsum_core/claim.py
+++ b/packages/core/gypsum_core/claim.py
@@ -4,12 +4,12 @@
 class WriteClaim:
     """This daemon's claim on one group, on which the recent writers' table depends.
 
-    The group refuses writes of a daemon that its claim row does not name. While the
-    row names this daemon, its table of recent writers is complete.
+    The group refuses writes of a daemon that its claim row does not name. While the row
+    names this daemon, its table of recent writers is complete.
 
     Each attempt claims under its own name. With a shared name, an abandoned attempt
     that takes effect late would replace another home's claim, and that home's writes
-    would be missing from a table that is taken to be complete.
+    would be missing from a table that counts as complete.
     """
 
     def __init__(self, *, ctx, view, recent_writers):
--- a/packages/core/gypsum_core/context.py
+++ b/packages/core/gypsum_core/context.py
@@ -11,9 +11,9 @@
 class Context:
     """Identity, time, random numbers and the actions collected in this step.
 
-    `now` is in seconds on any monotonic clock; the shell sets it before each
-    step. `incarnation` differs after each restart, so that a restarted daemon
-    never takes the claim of its previous run for its own.
+    `now` is in seconds on any monotonic clock; the shell sets it before each step.
+    `incarnation` differs after each restart, so that a restarted daemon never mistakes
+    the claim of its previous run for its own.
     """
 
     daemon: str
--- a/packages/core/gypsum_core/election.py
+++ b/packages/core/gypsum_core/election.py
@@ -10,9 +10,9 @@
 class Election:
     """One attempt to install a primary at `term`.
 
-    `accepted` holds the statuses of members that promised it, `responded` the names
-    of all that answered or failed; `avoided` is
-    promoted only if the other accepting members are no majority.
+    `accepted` holds the statuses of members that promised it, `responded` the names of
+    all that answered or failed; `avoided` is promoted only if the other accepting
+    members are no majority.
     """
 
     term: int
--- a/packages/core/gypsum_core/records.py
+++ b/packages/core/gypsum_core/records.py
@@ -157,10 +157,10 @@
 class Answer:
     """The final answer to one request.
 
-    `position` is what the caller's session must see from now on, `age_ms` the
-    proven bound on the age of the data, `retry_after_s` when to retry (0: a retry
-    does not help). `current` says that the data shows everything
-    acknowledged before the request was asked.
+    `position` is what the caller's session must see from now on, `age_ms` the proven
+    bound on the age of the data, `retry_after_s` when to retry (0: a retry does not
+    help). `current` says that the data shows everything acknowledged before the request
+    was asked.
     """
 
     request: str
--- a/packages/core/gypsum_core/tokens.py
+++ b/packages/core/gypsum_core/tokens.py
@@ -1,9 +1,9 @@
 """Signed session tokens: the position that a caller's next read must reflect.
 
-A token names the database, the member and the position of the caller's last
-write. A forged token could make a home wait for a position that is never reached, and
-that of another member could reveal how busy it is, so each token is bound to its
-database and member by an HMAC. The first key signs; any of the keys verifies.
+A token names the database, the member and the position of the caller's last write. A
+forged token could make a home wait for a position that is never reached, and that of
+another member could reveal how busy it is, so each token is bound to its database and
+member by an HMAC. The first key signs; any of the keys verifies.
 """
 
 import hashlib
--- a/packages/daemon/gypsum_daemon/metrics.py
+++ b/packages/daemon/gypsum_daemon/metrics.py
@@ -75,7 +75,7 @@
         )
 
     def collect_homes(self, boards):
-        """Update the gauges from the homes' boards."""
+        """Update the gauges from the homes' reports."""
         for board in boards:
             name = {"database": board.database}
             self.reads.set({**name, "at": "replica", "why": ""}, board.reads_replica)
--- a/packages/policy/gypsum_policy/draining.py
+++ b/packages/policy/gypsum_policy/draining.py
@@ -61,9 +61,9 @@
 def accepts_work(plan, elapsed, *, opens_transaction, last_resort):
     """Whether a draining daemon accepts new work from another daemon.
 
-    Until the notice period ends it does, since the other daemon may not have been told
-    of the drain yet. After that it accepts only single statements that nobody else
-    could run (`last_resort`): these end before it does, a transaction may not.
+    Until the notice period ends it does, since the other daemon may not know of the
+    drain yet. After that it accepts only single statements that no other daemon could
+    run (`last_resort`): these end before it does, a transaction may not.
     """
     if elapsed < plan.notice_end:
         return True
--- a/packages/policy/gypsum_policy/latency.py
+++ b/packages/policy/gypsum_policy/latency.py
@@ -38,7 +38,7 @@
         self.pending[request_id] = now
 
     def finish_request(self, request_id):
-        """Record that a request was answered or given up."""
+        """Record that a request was answered or abandoned."""
         self.pending.pop(request_id, None)
 
     def record(self, seconds, now):
--- a/packages/policy/gypsum_policy/membership.py
+++ b/packages/policy/gypsum_policy/membership.py
@@ -1,4 +1,4 @@
-"""When a daemon is taken for dead, and when the list of daemons is complete.
+"""When a daemon counts as dead, and when the list of daemons is complete.
 
 Load pattern: daemons are restarted and replaced all day, five at a time or half of them
 at once. A dead daemon still owns groups in every daemon's order until its entry is
@@ -9,7 +9,7 @@
 all upstreams within its first second, and the upstreams would refuse the real owners.
 """
 
-# A daemon that has been unreachable for this many seconds is taken for dead: several
+# A daemon that has been unreachable for this many seconds counts as dead: several
 # times a restart, and longer than most network partitions.
 DEAD_AFTER = 12.0
 # Seconds between checks of the unreachable daemons.
--- a/packages/policy/gypsum_policy/reachability.py
+++ b/packages/policy/gypsum_policy/reachability.py
@@ -2,14 +2,15 @@
 
 Load pattern: a primary that some daemons reach and others don't, because of a network
 partition or because it accepts no more connections, while callers of all daemons need
-it. A daemon that goes by its own view alone deposes a primary that serves half of the
-callers, and nobody can write for a second; until then it rejects its own callers.
+it. A daemon that relied on its own view alone would depose a primary that serves half
+of the callers, and no caller could write for a second; until then it would reject its
+own callers.
 """
 
 # A proof of the primary counts as a confirmation for this many seconds: two rounds of
 # proofs, so that losing one doesn't matter.
 CONFIRMATION_VALID_FOR = 0.6
-# Seconds between questions to the other owners while this daemon reaches no primary:
+# Seconds between queries to the other owners while this daemon reaches no primary:
 # each costs them a few milliseconds.
 ASK_INTERVAL = 0.15
 
@@ -23,8 +24,8 @@
 
     `answered` holds the time of each member's last answer. When a primary dies the
     other members stay reachable, and callers are best served by waiting for its
-    successor. A daemon on the minority side of a partition makes them wait for nothing,
-    while other daemons could serve them.
+    successor. On the minority side of a partition that wait is useless, while other
+    daemons could serve the callers.
     """
     reached = sum(now - at < UNREACHABLE_AFTER for at in answered)
     return 2 * reached < len(answered)
--- a/packages/policy/gypsum_policy/relays.py
+++ b/packages/policy/gypsum_policy/relays.py
@@ -74,9 +74,10 @@
     """Whether a follower that knows a feed up to `known` has all its watcher's changes.
 
     `since` is the revision of the watcher's last change. The revision up to which the
-    watcher knows the feed wouldn't do: a follower that missed a change is below it, and
-    so is one that missed none. Accepting any lower revision would leave the first one
-    out of date; requiring equality would make the second one call the store forever.
+    watcher knows the feed is not suitable: a follower that missed a change is below it,
+    and so is one that missed none. Accepting any lower revision would leave the first
+    one out of date; requiring equality would make the second one call the store
+    forever.
     """
     return known >= since
 
@@ -84,8 +85,8 @@
 def is_contiguous(known, since, revision):
     """Whether the changes from `since` to `revision` follow on revision `known`.
 
-    Without this check a daemon takes itself for up to date at `revision` while the
-    changes before `since` are missing until the process restarts. Nothing follows on a
+    Without this check a daemon would count as up to date at `revision` while it lacks
+    the changes before `since`, until its process restarts. Nothing follows on a
     revision of an earlier era: no change tells what the store lost.
     """
     return same_era(known, revision) and since <= known < revision
--- a/packages/sessions/gypsum_sessions/callers/session.py
+++ b/packages/sessions/gypsum_sessions/callers/session.py
@@ -35,9 +35,9 @@
     `digest` is that of the caller's key; `withdrawn` is set once the key is no longer
     valid. `own_floor` is the position of the session's last commit. `last_active` is
     the time at which the last statement ended, `last_request` its id.
-    `abort_unreported` is set while the caller has yet to be told that the proxy rolled
-    its transaction back. `running_attempts` are tasks that end when reads end that are
-    still running after their reply, on this daemon or on an owner.
+    `abort_unreported` is set while the caller does not know yet that the proxy rolled
+    its transaction back. `running_attempts` has a task for each read that still runs
+    after its reply, on this daemon or on an owner; the task ends with the read.
     """
 
     number: int
--- a/packages/sessions/gypsum_sessions/daemons/feedfollower.py
+++ b/packages/sessions/gypsum_sessions/daemons/feedfollower.py
@@ -124,7 +124,7 @@
         self.feed(name).store_unreachable = False
 
     def needs_watcher(self):
-        """Tell whether this daemon needs a watcher."""
+        """Return whether this daemon needs a watcher."""
         return not self.daemons.watches() or any(
             feed.store_unreachable for feed in self.feeds.values()
         )
@@ -132,7 +132,7 @@
     # Queries by this daemon's feeds
 
     def is_up_to_date(self, name):
-        """Tell whether this daemon has all changes that the watcher has confirmed."""
+        """Return whether this daemon has all changes that the watcher has confirmed."""
         if self.link is None or self.clock() - self.heard_at > WATCHER_TIMEOUT:
             return False
         feed = self.feed(name)
@@ -143,16 +143,16 @@
         return self.clock() - self.heard_at if self.is_up_to_date(name) else None
 
     def behind(self, name):
-        """Tell whether the watcher has changes of a feed that this daemon lacks."""
+        """Return whether the watcher has changes of a feed that this daemon lacks."""
         return self.feed(name).behind
 
     def has_updates(self, name):
-        """Tell whether there are updates that can be applied."""
+        """Return whether there are updates that can be applied."""
         self.drop_stale_updates(name)
         return bool(self.feed(name).pending)
 
     async def wait_for_list(self, name, seconds):
-        """Wait for a requested list; tell whether there are updates.
+        """Wait for a requested list; return whether there are updates.
 
         Returns early if the watcher is lost.
         """
@@ -302,16 +302,16 @@
                 await self.choose_watcher()
 
     def watcher_is_silent(self):
-        """Tell whether the watcher's link is unusable or silent for too long."""
+        """Return whether the watcher's link is unusable or silent for too long."""
         return not self.link.usable or self.clock() - self.heard_at > WATCHER_TIMEOUT
 
     def watcher_is_unusable(self):
-        """Tell whether the watcher has not confirmed a feed that is needed from it.
+        """Return whether the watcher has not confirmed a feed that is needed from it.
 
         Without this check, a daemon keeps an old configuration if the store also
         rejects its watcher, although another watcher has a newer one. A daemon that
         reports that it does not watch is left at once: a starting daemon knows only
-        some of the others and takes the first of these for watchers.
+        some of the others and treats the first of these as watchers.
         """
         if not self.is_watcher:
             return True
@@ -400,7 +400,7 @@
 
 
 def is_applicable(update, known):
-    """Tell whether an update can be applied to a feed known up to a revision."""
+    """Return whether an update can be applied to a feed known up to a revision."""
     if update.whole:
         return update.revision > known
     return is_contiguous(known, update.since, update.revision)
--- a/packages/sessions/gypsum_sessions/daemons/homes.py
+++ b/packages/sessions/gypsum_sessions/daemons/homes.py
@@ -103,7 +103,7 @@
         """Skip a home until it answers a probe.
 
         If callers' operations were used to retry it, on an isolated daemon some
-        operation would wait in vain for each home every second.
+        operation would wait for each home every second without an answer.
         """
         if name in self.unreachable:
             return
@@ -126,7 +126,7 @@
             return
 
     async def is_connected(self, workspace):
-        """Tell whether this daemon hears from any other one.
+        """Return whether this daemon hears from any other one.
 
         Without this check, an isolated home grants to its own callers while a standby
         grants to all others: together they grant the cap twice.
--- a/packages/sessions/gypsum_sessions/daemons/peers.py
+++ b/packages/sessions/gypsum_sessions/daemons/peers.py
@@ -71,7 +71,7 @@
         """Queue a message for sending; False if the link accepts no more."""
 
     async def probe(self, timeout: float) -> bool:
-        """Tell whether the other end answers in time."""
+        """Return whether the peer answers in time."""
 
     def close(self) -> None:
         """Close at once; nothing more arrives."""
@@ -145,7 +145,7 @@
 
     @property
     def usable(self):
-        """Tell whether new work may be sent over the link."""
+        """Return whether new work may be sent over the link."""
         return not self.close_reason and not self.draining
 
     def next_number(self):
@@ -191,7 +191,7 @@
         return answer
 
     async def check_alive(self):
-        """Check that the other end answers; raises PeerLost.
+        """Check that the peer answers; raises PeerLost.
 
         Without this check, a write on an idle connection that something on the path has
         dropped is in doubt although it never arrived.
@@ -277,11 +277,11 @@
         self.paces = {}
 
     def avoided(self, name):
-        """Tell whether other daemons are tried before this one."""
+        """Return whether other daemons are tried before this one."""
         return self.is_draining(name) or name in self.backoffs
 
     def is_draining(self, name):
-        """Tell whether a daemon has said that it is draining.
+        """Return whether a daemon has said that it is draining.
 
         A draining daemon says so first on each of its links. So an open link without
         that notice belongs to a process that is not draining, such as one restarted
@@ -291,12 +291,12 @@
         return link is not None and not link.close_reason and link.draining
 
     def is_linked(self, name):
-        """Tell whether there is an open link to a daemon."""
+        """Return whether there is an open link to a daemon."""
         link = self.links.get(name)
         return link is not None and not link.close_reason
 
     def accepts_transactions(self, name):
-        """Tell whether a daemon may open a transaction, as far as is known here.
+        """Return whether a daemon may open a transaction, as far as is known here.
 
         Without this check, when all other candidates are draining or just starting, a
         draining owner is asked while its process ends, and the statement is lost.
--- a/packages/sessions/gypsum_sessions/daemons/registry.py
+++ b/packages/sessions/gypsum_sessions/daemons/registry.py
@@ -114,7 +114,7 @@
         return self.order(spec.name, self.owner_count(spec))
 
     def owns(self, spec):
-        """Tell whether this daemon owns a group."""
+        """Return whether this daemon owns a group."""
         return self.own.id in self.owners(spec)
 
     def rank(self, spec):
@@ -130,7 +130,7 @@
         return self.order(WATCHERS_KEY, count)
 
     def watches(self):
-        """Tell whether this daemon watches the store itself."""
+        """Return whether this daemon watches the store itself."""
         return not self.listed or self.own.id in self.watchers()
 
     def connection_share(self, spec):
--- a/packages/sessions/gypsum_sessions/daemons/relay.py
+++ b/packages/sessions/gypsum_sessions/daemons/relay.py
@@ -62,12 +62,12 @@
         self.confirmation_times[name] = seconds
 
     def is_confirmed(self, name, feed):
-        """Tell whether the store has answered for a feed recently."""
+        """Return whether the store has answered for a feed recently."""
         limit = self.confirmation_times.get(name, self.in_touch_for)
         return bool(feed.revision) and self.clock() - feed.answered_at < limit
 
     def has_feed(self, name):
-        """Tell whether a complete copy of a feed is kept here."""
+        """Return whether a complete copy of a feed is kept here."""
         return name in self.feeds
 
     def drop_feed(self, name):
--- a/packages/sessions/gypsum_sessions/daemons/remote.py
+++ b/packages/sessions/gypsum_sessions/daemons/remote.py
@@ -119,7 +119,7 @@
             job.running_attempts.add(asyncio.create_task(ending))
 
     def last_resort(self, name, asked_all, unable):
-        """Tell whether an owner must run the job even if draining or starting."""
+        """Return whether an owner must run the job even if draining or starting."""
         leaves = self.peers.is_draining(name)
         return is_last_resort(asked_all=asked_all, leaving=leaves, unable=unable)
 
@@ -260,7 +260,7 @@
         return None
 
     async def use_link(self, job, name):
-        """Bind the transaction to an owner's link; tell whether the link works."""
+        """Bind the transaction to an owner's link; return whether the link works."""
         try:
             link = await self.access.peers.link(
                 name, job.time_left(self.access.context.clock)
--- a/packages/sessions/gypsum_sessions/daemons/requesthandler.py
+++ b/packages/sessions/gypsum_sessions/daemons/requesthandler.py
@@ -66,7 +66,7 @@
 
     @property
     def busy(self):
-        """Tell whether statements run or transactions are open."""
+        """Return whether statements run or transactions are open."""
         return bool(self.tasks or self.transactions)
 
     # FrameReceiver
@@ -321,7 +321,7 @@
 
 
 def has_connection(request, group):
-    """Tell whether a statement gets a connection here without a long wait.
+    """Return whether a statement gets a connection here without a long wait.
 
     Without this check, when idle transactions hold all connections of one owner, others
     wait for them until their deadline although another owner has idle connections.
@@ -332,7 +332,7 @@
 
 
 def may_run_elsewhere(request, job, reply):
-    """Tell whether to retry at another owner what this owner's queue delays too long.
+    """Return whether to retry at another owner what this owner's queue delays too long.
 
     Otherwise callers are refused by the owner that is tried first, which may run on a
     slow machine, while other owners could serve them.
--- a/packages/sessions/gypsum_sessions/execution/admission.py
+++ b/packages/sessions/gypsum_sessions/execution/admission.py
@@ -112,7 +112,7 @@
             pass
 
     def admit_next(self, now):
-        """Admit the next waiting statement; tells whether there was one."""
+        """Admit the next waiting statement; returns whether there was one."""
         ticket = self.queue.start_next(now, self.futures)
         if ticket is None:
             return False
--- a/packages/sessions/gypsum_sessions/execution/confirm.py
+++ b/packages/sessions/gypsum_sessions/execution/confirm.py
@@ -26,7 +26,7 @@
 
 
 async def is_confirmed(group, position, leader, *, timeout):
-    """Tell whether a commit at a position may be reported as done.
+    """Return whether a commit at a position may be reported as done.
 
     Replicas are queried again until `timeout` seconds have passed: one may lag for a
     moment, or all of this daemon's connections to it may be in use.
@@ -55,7 +55,7 @@
 
 
 async def can_confirm(group, leader, *, timeout):
-    """Tell whether a commit could be confirmed; queries unreachable replicas once more.
+    """Return whether a commit could be confirmed; retries unreachable replicas once.
 
     Otherwise a daemon that is cut off from the replicas would go on writing and report
     each outcome as unknown. Refused callers can go to another daemon. If no replica is
--- a/packages/sessions/gypsum_sessions/execution/reads.py
+++ b/packages/sessions/gypsum_sessions/execution/reads.py
@@ -43,7 +43,7 @@
 
     @property
     def final(self):
-        """Tell whether this is the caller's reply."""
+        """Return whether this is the caller's reply."""
         return self.reply is not None and self.reply.refusal not in RETRY_ELSEWHERE
 
 
--- a/packages/sessions/gypsum_sessions/execution/transactions.py
+++ b/packages/sessions/gypsum_sessions/execution/transactions.py
@@ -127,7 +127,7 @@
 
 
 async def begin_at(group, tx, job, item, statement, after=None):
-    """Open the transaction at one upstream once admitted; tell whether it is open.
+    """Open the transaction at one upstream once admitted; return whether it is open.
 
     Raises QueueTimeout. Without admission, bursts of transactions would hold all
     connections while statements of higher priority wait.
@@ -140,7 +140,7 @@
 
 
 async def send_begin(group, tx, job, item, statement, after):
-    """Open the transaction at one upstream; tell whether it is open."""
+    """Open the transaction at one upstream; return whether it is open."""
     context, clock = group.context, group.context.clock
     try:
         pooled = await acquire_verified(group, item, job)
--- a/packages/sessions/gypsum_sessions/interfaces.py
+++ b/packages/sessions/gypsum_sessions/interfaces.py
@@ -98,7 +98,7 @@
     """Stores the promotion leases, shared by all daemons."""
 
     async def read(self, group: str) -> PromotionLease:
-        """Read a lease; its holder is empty if nobody has held it yet."""
+        """Read a lease; its holder is empty if it was never held."""
 
     async def read_all(self) -> tuple[dict[str, PromotionLease], int]:
         """Read all leases, by group, and the store's revision of that read."""
@@ -108,7 +108,7 @@
     ) -> PromotionLease | None:
         """Acquire the lease with a higher token if it is still at `seen.revision`.
 
-        Returns None if somebody else changed it. Raises LeaseError if the outcome is
+        Returns None if it has changed meanwhile. Raises LeaseError if the outcome is
         unknown.
         """
 
--- a/packages/sessions/gypsum_sessions/proxy.py
+++ b/packages/sessions/gypsum_sessions/proxy.py
@@ -31,7 +31,7 @@
 # Delay before a failed background loop is restarted, seconds.
 RESTART_DELAY = 0.5
 # How often the process checks that it is running, and the gap between two checks that
-# counts as a pause, seconds. Other daemons take a link for dead 0.1 s after that gap.
+# counts as a pause, seconds. Other daemons consider a link dead 0.1 s after it.
 PAUSE_CHECK_INTERVAL = 0.05
 PAUSE_THRESHOLD = 0.5
 
@@ -349,9 +349,10 @@
     def detect_pauses(self):
         """Detect that this process was paused, and drop the requests from before.
 
-        A daemon that resumes would read queued statements whose senders have long told
-        their callers something else, and run them with outdated session values. This is
-        a plain callback because it has to run before the tasks that read the links.
+        A daemon that resumes would read queued statements although their senders have
+        long given their callers another answer, and run them with outdated session
+        values. This is a plain callback because it has to run before the tasks that
+        read the links.
         """
         now = self.clock()
         if now - self.last_awake > PAUSE_THRESHOLD:
--- a/packages/sessions/gypsum_sessions/takeover/leader.py
+++ b/packages/sessions/gypsum_sessions/takeover/leader.py
@@ -89,7 +89,7 @@
         return self.leader
 
     def is_partitioned(self):
-        """Return whether nobody leads and too few members are reachable.
+        """Return whether no member leads and too few members are reachable.
 
         Waiting for a leader is then pointless.
         """
@@ -135,7 +135,7 @@
                 self.proof_waiters.remove(proof)
 
     def proof_age(self):
-        """Seconds since the leader was last proven; None if nobody leads."""
+        """Seconds since the leader was last proven; None if no member leads."""
         newest = self.floors.newest
         if not self.leader or newest is None:
             return None
--- a/packages/sessions/gypsum_sessions/takeover/lease_view.py
+++ b/packages/sessions/gypsum_sessions/takeover/lease_view.py
@@ -57,8 +57,8 @@
     def record(self, group, lease):
         """Record a lease as read from the store.
 
-        Leases older than the known one, and the empty lease that nobody ever held
-        (token 0), are ignored.
+        Leases older than the known one, and the empty lease that was never held (token
+        0), are ignored.
         """
         if not lease.token:
             return
--- a/packages/sessions/gypsum_sessions/takeover/replication.py
+++ b/packages/sessions/gypsum_sessions/takeover/replication.py
@@ -48,8 +48,7 @@
         """Pause all replicas; their statuses, or None if one did not answer.
 
         `old_primary` is being replaced and need not answer. Unless it `led_recently`,
-        it is asked first, and is paused like the others if it turns out to be a
-        replica.
+        it is asked first, and is paused like the others if it has become a replica.
         """
         others = [
             item for item in self.group.upstreams.values() if item.id != old_primary
--- a/packages/sessions/gypsum_sessions/upstreams/group.py
+++ b/packages/sessions/gypsum_sessions/upstreams/group.py
@@ -129,7 +129,7 @@
         )
 
     def can_open_transaction(self, *, writes, soon=False):
-        """Tell whether a transaction can be opened without waiting for a connection.
+        """Return whether a transaction can be opened without waiting for a connection.
 
         With `soon`, a connection that a single statement uses counts too: it is
         released when the statement ends.
@@ -192,7 +192,7 @@
         ]
 
     def accepts_work(self, member):
-        """Tell whether a member may be sent work: not if it has been leaving too long.
+        """Return whether a member may be sent work: not if it has long been leaving.
 
         A primary that leaves and cannot be replaced because the store is down would
         otherwise be sent work until it stops, and the work would be lost with it.
@@ -226,10 +226,10 @@
         )
 
     def takeover_in_progress(self):
-        """Tell whether a takeover started recently.
+        """Return whether a takeover started recently.
 
-        A new leader does not end it: a promotion order that was given up may still be
-        carried out, and an earlier order may have taken effect in between.
+        A new leader does not end it: an abandoned promotion order may still be carried
+        out, and an earlier order may have taken effect in between.
         """
         return self.context.lease_view.under_way(self.name)
 
--- a/packages/sessions/gypsum_sessions/upstreams/hosting.py
+++ b/packages/sessions/gypsum_sessions/upstreams/hosting.py
@@ -92,7 +92,7 @@
         return group
 
     def can_release(self, name):
-        """Tell whether a group's connections have not been needed lately."""
+        """Return whether a group's connections have not been needed lately."""
         if self.takeovers[name].attempting:
             return False
         items = self.groups[name].upstreams.values()
--- a/packages/sessions/gypsum_sessions/upstreams/pool.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pool.py
@@ -81,7 +81,7 @@
             next_in_line = True
 
     def has_servable_waiter(self):
-        """Tell whether a waiting caller could be served now.
+        """Return whether a waiting caller could be served now.
 
         New requests queue behind it. Otherwise callers of a busy workspace would take
         each connection as it is released, and those of other workspaces would wait
@@ -90,7 +90,7 @@
         return any(self.can_serve(waiter) for waiter in self.waiting)
 
     def can_serve(self, waiter):
-        """Tell whether a waiter could use an idle connection or open a new one."""
+        """Return whether a waiter could use an idle connection or open a new one."""
         if waiter.future.done():
             return False
         name = waiter.workspace
@@ -102,7 +102,7 @@
         return may_hold(self.in_use_by_workspace, workspace=name, limit=self.limit)
 
     def can_dial(self, urgent, workspace):
-        """Tell whether a connection may be opened now; evicts an idle one if needed."""
+        """Return whether a connection may be opened; evicts an idle one if needed."""
         if self.clock() < self.next_dial_at:
             return False
         if not may_hold(
@@ -116,8 +116,8 @@
     def evict_idle(self):
         """Close the idle connections least likely to be needed until below the limit.
 
-        Closes two if an urgent caller has opened one beyond the limit. Tells whether a
-        connection may be opened.
+        Closes two if an urgent caller has opened one beyond the limit. Returns whether
+        a connection may be opened.
         """
         while self.idle and self.open_count >= self.limit:
             index = index_to_evict(
@@ -129,7 +129,7 @@
         return self.open_count < self.limit
 
     def below_limit(self, urgent):
-        """Tell whether one more connection may be opened."""
+        """Return whether one more connection may be opened."""
         return self.open_count < self.limit + (1 if urgent else 0)
 
     def set_limit(self, limit):
@@ -164,14 +164,14 @@
         return len(self.checked_out)
 
     def may_free_soon(self):
-        """Tell whether a connection is in use outside of a transaction.
+        """Return whether a connection is in use outside of a transaction.
 
         A transaction may pause between statements and holds its connection meanwhile.
         """
         return any(not item.in_transaction for item in self.checked_out)
 
     def has_capacity(self):
-        """Tell whether a connection is idle or may be opened."""
+        """Return whether a connection is idle or may be opened."""
         self.prune_closed()
         return bool(self.idle) or self.open_count < self.limit
 
@@ -321,7 +321,7 @@
     def close_surplus(self):
         """Close connections that have been idle too long, but keep one.
 
-        Otherwise every daemon would keep its full share for ever after a load peak.
+        Otherwise every daemon would keep its full share indefinitely after a load peak.
         Together with the connections for proofs of leadership and for commands, that
         exceeds what an upstream accepts.
         """
--- a/packages/sessions/gypsum_sessions/upstreams/pooled.py
+++ b/packages/sessions/gypsum_sessions/upstreams/pooled.py
@@ -28,7 +28,7 @@
 
     @property
     def alive(self):
-        """Tell whether the connection can still be used."""
+        """Return whether the connection can still be used."""
         return self.conn.alive
 
 
@@ -68,7 +68,7 @@
 
 
 def needs_reset(pooled, values, prepared, prepared_limit):
-    """Tell whether a connection carries state that the session must not see."""
+    """Return whether a connection carries state that the session must not see."""
     if pooled.in_transaction:
         return False
     has_other_values = not pooled.values.keys() <= values.keys()
--- a/packages/sessions/gypsum_sessions/upstreams/recorder.py
+++ b/packages/sessions/gypsum_sessions/upstreams/recorder.py
@@ -2,7 +2,7 @@
 
 The list of upstreams loses entries whose leases expire while the store is down. A
 daemon that starts at that time sees only some of a group's members, or none. It must
-not take these for the whole group when it replaces a primary, and it can serve from the
+not treat these as the whole group when it replaces a primary, and it can serve from the
 members on record.
 """
 
@@ -53,7 +53,7 @@
             self.recorded[group] = frozenset()
 
     def has_record(self, group):
-        """Tell whether a record of a group's members is known."""
+        """Return whether a record of a group's members is known."""
         return group in self.recorded
 
     async def check(self, group, members, rank):
--- a/packages/sessions/gypsum_sessions/upstreams/roster.py
+++ b/packages/sessions/gypsum_sessions/upstreams/roster.py
@@ -44,7 +44,7 @@
 
     @property
     def active(self):
-        """Tell whether it is listed and has not said that it leaves."""
+        """Return whether it is listed and has not said that it leaves."""
         return not self.leaving and self.missing_since is None
 
 
@@ -59,7 +59,7 @@
 
 
 def store_was_restored(known, member):
-    """Tell whether the store was restored from a backup since an entry was known."""
+    """Return whether the store was restored from a backup since an entry was known."""
     return not same_era(known.changed, member.changed)
 
 
--- a/packages/sessions/gypsum_sessions/upstreams/upstream.py
+++ b/packages/sessions/gypsum_sessions/upstreams/upstream.py
@@ -76,7 +76,7 @@
 
     @property
     def reachable(self):
-        """Tell whether a short query is likely to be answered.
+        """Return whether a short query is likely to be answered.
 
         A slow statement alone does not count against it. At the upstream's connection
         limit, it takes a connection that is open already.
@@ -115,6 +115,6 @@
 
 
 def is_connection_shortage(exc):
-    """Tell whether a failure means only that no connection is free or accepted."""
+    """Return whether a failure means only that no connection is free or accepted."""
     full = isinstance(exc, UpstreamRefused) and exc.at_limit
     return full or isinstance(exc, NoFreeConnection)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -186,7 +186,7 @@
         daemon.process.send_signal(number)
         code = await daemon.process.wait()
         # Until the program has installed its handler, SIGTERM ends the interpreter by
-        # the signal. A process that has logged nothing has served nobody, so that its
+        # the signal. A process that has logged nothing has served no caller, so its
         # exit code is no finding.
         log_unchanged = self.current_log_size(daemon) == daemon.log_size
         if not (log_unchanged and code == -signal.SIGTERM):
--- a/tests/fakes/group.py
+++ b/tests/fakes/group.py
@@ -332,7 +332,7 @@
         self.group.clock.after(latency, self.arrive, path, function, args)
 
     def arrive(self, path, function, args):
-        """Arrival at the other end; lost if the path was cut meanwhile."""
+        """Arrival at the receiver; lost if the path was cut meanwhile."""
         if not self.world.is_cut(*path):
             function(*args)
 
--- a/tests/fakes/member.py
+++ b/tests/fakes/member.py
@@ -18,7 +18,7 @@
 
 
 class StatementRefused(Exception):
-    """StatementThe statement is refused permanently."""
+    """The statement is refused permanently."""
 
     def __init__(self, reason):
         super().__init__(reason)
--- a/tests/guarantees.py
+++ b/tests/guarantees.py
@@ -37,7 +37,7 @@
 class GuaranteeChecker:
     """Records what was sent, answered and run, and collects violations in `broken`.
 
-    `refused_writes` is the data of writes that callers were told had not been run.
+    `refused_writes` is the data of writes that were answered as not run.
     """
 
     acked: list[AckedWrite] = field(default_factory=list)
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -1,11 +1,10 @@
 """The guarantees of the proxy, checked over any run in virtual time.
 
-1 read-your-writes, 2 acknowledged writes are kept and come from no replaced primary,
-3 transactions contain one caller's statements, 4 complete answers to the right
-request,
-5 "not run" was not run, 6 at most once, 7 a leaving upstream gets no new work,
-8 a drain aborts no request, 9 manifest versions only increase and come into force;
-and A, no read is older than its kind allows.
+1 read-your-writes, 2 acknowledged writes are kept and come from no replaced primary, 3
+transactions contain one caller's statements, 4 complete answers to the right request, 5
+"not run" was not run, 6 at most once, 7 a leaving upstream gets no new work, 8 a drain
+aborts no request, 9 manifest versions only increase and come into force; and A, no read
+is older than its kind allows.
 """
 
 from collections import Counter
--- a/tests/platform/test_registrar.py
+++ b/tests/platform/test_registrar.py
@@ -96,8 +96,8 @@
 def test_a_daemon_that_answers_once_more_is_kept():
     """Guards against owners that change though no daemon is dead.
 
-    The time since the last failed connection counted as unreachable, also if nobody
-    had tried again since the daemon restarted.
+    The time since the last failed connection counted as unreachable, also if no daemon
+    had tried again since the restart.
     """
 
     async def main(object_store, client, registrar, proxy):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -60,7 +60,7 @@
     with_store(main)
 
 
-def test_long_lists_come_in_parts():
+def test_long_lists_are_read_in_pages():
     async def main(object_store, client):
         for number in range(1201):
             object_store.put("kind", f"n{number:05}", {})
@@ -70,7 +70,7 @@
     with_store(main)
 
 
-def test_a_change_between_two_parts_of_a_list_is_told_by_the_watch():
+def test_a_change_between_two_pages_of_a_list_is_seen_by_the_watch():
     """Guards against a missed change of an object on an earlier page of a list.
 
     The watch continued from the revision of the last page, so a change made between two
@@ -99,7 +99,7 @@
     with_store(main)
 
 
-def test_a_watch_tells_changes_and_deletions():
+def test_a_watch_returns_changes_and_deletions():
     async def main(object_store, client):
         _, revision = await client.list_objects("kind")
         watching = asyncio.create_task(client.watch("kind", revision))
@@ -114,7 +114,7 @@
     with_store(main)
 
 
-def test_a_forgotten_history_is_told():
+def test_a_dropped_history_is_reported():
     async def main(object_store, client):
         object_store.put("kind", "a", {})
         object_store.forget_history()
@@ -153,7 +153,7 @@
 
 
 class ProxyDouble:
-    """Takes what feeds hand on."""
+    """Records what handlers pass to the proxy."""
 
     def __init__(self):
         self.versions = []
@@ -161,23 +161,23 @@
         self.lines = []
 
     def log(self, part, event, **fields):
-        """Keep a line."""
+        """Record a log line."""
         self.lines.append((part, event))
 
     def offer_catalog(self, candidate, source):
-        """A configuration."""
+        """Record a configuration's version."""
         self.versions.append(candidate.version)
 
     def update_members(self, members):
-        """A whole list."""
+        """Replace all members."""
         self.members = {member.id: member for member in members}
 
     def update_member(self, member):
-        """One entry."""
+        """Add or replace a member."""
         self.members[member.id] = member
 
     def remove_member(self, upstream):
-        """An entry vanished."""
+        """Remove a member."""
         self.members.pop(upstream, None)
 
 
@@ -191,7 +191,7 @@
 
 
 class SystemProxyDouble(ProxyDouble):
-    """Keeps what was recorded_members of the groups' members."""
+    """Also keeps the daemons and the records of groups' members."""
 
     def __init__(self):
         super().__init__()
@@ -201,11 +201,11 @@
         self.recorded_members = {}
 
     def update_daemons(self, entries):
-        """The daemons that are registered."""
+        """Replace the registered daemons."""
         self.daemons = DaemonsDouble({entry.id: entry for entry in entries})
 
     def add_recorded_members(self, group, members):
-        """A record found at the start."""
+        """Keep a record of a group's members."""
         self.recorded_members[group] = members
 
 
@@ -241,7 +241,7 @@
     raise AssertionError("it never came")
 
 
-def test_a_feed_lives_through_outages_and_lost_history():
+def test_a_feed_survives_outages_and_lost_history():
     async def main(object_store, client):
         proxy = ProxyDouble()
         handler = ConfigHandler(proxy=proxy)
@@ -270,7 +270,7 @@
     with_store(main)
 
 
-def test_a_feed_tells_how_far_it_has_taken_all_in():
+def test_a_feed_reports_the_revision_that_it_has_applied():
     async def main(object_store, client):
         told = []
         feed = Feed(
@@ -292,28 +292,28 @@
     with_store(main)
 
 
-def test_one_feed_that_has_the_store_back_wakes_the_others():
+def test_a_feed_that_reaches_the_store_again_wakes_the_others():
     """Guards against a daemon that serves only seconds after the store is back.
 
     After a long outage each feed waited for the end of its own backoff.
     """
 
     class Switched:
-        """A store that is unavailable until told otherwise; counts the calls."""
+        """A store that is unavailable while `away` is set; counts the calls."""
 
         def __init__(self):
             self.away = True
             self.calls = {"first": 0, "second": 0}
 
         async def list_objects(self, kind):
-            """An empty list, or no answer."""
+            """Return an empty list, or fail."""
             self.calls[kind] += 1
             if self.away:
                 raise StoreError("away", step="list", peer="store")
             return [], 1
 
         async def watch(self, kind, revision, *, wait_ms):
-            """Nothing ever changes."""
+            """Wait: nothing ever changes."""
             await asyncio.sleep(1000)
 
     async def main():
@@ -341,7 +341,7 @@
     asyncio.run(main())
 
 
-def test_an_unusable_configuration_or_entry_is_left_aside():
+def test_an_unusable_configuration_or_entry_is_ignored():
     proxy = ProxyDouble()
     broken = store_module.StoredObject(name="main", revision=3, spec={"routes": []})
     ConfigHandler(proxy=proxy).on_list([broken])
@@ -355,7 +355,7 @@
     assert ("store", "unusable entry") in proxy.lines
 
 
-def test_leases_are_taken_once_by_one():
+def test_a_lease_is_acquired_by_one_daemon():
     async def main(object_store, client):
         leases = StoreLeases(store=client)
         seen = await leases.read("g")
@@ -389,7 +389,7 @@
     with_store(main)
 
 
-def test_an_unusable_record_is_left_aside():
+def test_an_unusable_record_is_ignored():
     proxy = SystemProxyDouble()
     handler = SystemObjectHandler(proxy=proxy, own_name="d")
     spec = {"members": [{"id": "u"}]}
@@ -399,7 +399,7 @@
     assert proxy.lines == [("store", "unusable record")] * 2
 
 
-def test_an_unanswered_take_is_an_error_not_a_lease():
+def test_an_unanswered_acquisition_is_an_error_not_a_lease():
     async def main(object_store, client):
         leases = StoreLeases(store=client)
         object_store.lose = 1
@@ -437,13 +437,13 @@
     """
 
     class SilentStore:
-        """Fails once, then answers; keeps the waits it was asked for."""
+        """Fails the first watch, then answers; records the watches' durations."""
 
         def __init__(self):
             self.waits = []
 
         async def watch(self, kind, revision, *, wait_ms):
-            """One watch."""
+            """Record a watch; the first one fails."""
             self.waits.append(wait_ms)
             if len(self.waits) == 1:
                 raise StoreError("silent", step="watch", peer="store")
@@ -471,14 +471,14 @@
 
 
 class PageStore(Store):
-    """A store whose answers are given by hand."""
+    """A store client that returns prepared answers."""
 
     def __init__(self, *pages):
         super().__init__(address="127.0.0.1:1")
         self.pages = list(pages)
 
     async def call(self, step, kind, **options):
-        """The next answer."""
+        """Return the next answer."""
         return self.pages.pop(0)
 
 
@@ -497,7 +497,7 @@
     assert ([obj.name for obj in objects], revision) == (["a", "b"], 7)
 
 
-def test_a_part_that_cannot_be_continued_is_an_error_not_an_endless_loop():
+def test_a_page_that_cannot_be_continued_is_an_error_not_an_endless_loop():
     page = {"items": [{"meta": 3}], "storeRevision": 7, "more": True}
     with pytest.raises(StoreError):
         asyncio.run(PageStore(page, page).list_objects("servers"))
@@ -516,11 +516,11 @@
     assert ([change.obj.name for change in changes], revision) == (["a"], 8)
 
 
-def test_bytes_that_are_no_text_spoil_only_their_own_value():
+def test_invalid_utf8_affects_only_its_own_value():
     assert read_json(b'{"a": "\xff", "b": "x"}')["b"] == "x"
 
 
-def test_an_entry_that_turns_unusable_names_no_upstream_any_more():
+def test_an_entry_that_becomes_unusable_is_handled_like_a_deletion():
     proxy = ProxyDouble()
     handler = UpstreamHandler(store=None, log=proxy.log)
     handler.proxy = proxy
@@ -534,7 +534,7 @@
 
 
 class FollowerDouble:
-    """Hands out update that were given by hand, then says that nobody vouches."""
+    """Returns the given updates; without any left, no watcher confirms the feed."""
 
     def __init__(self, *update):
         self.waiting = list(update)
@@ -542,41 +542,41 @@
         self.daemons = self
 
     def watches(self):
-        """This daemon is no watcher."""
+        """Return whether this daemon is a watcher: no."""
         return False
 
     def needs_watcher(self):
-        """It needs one."""
+        """Return whether it needs a watcher: yes."""
         return True
 
     def has_updates(self, kind):
-        """Tell whether there are update."""
+        """Return whether updates are left."""
         return bool(self.waiting)
 
     def is_up_to_date(self, kind):
-        """Tell whether a watcher vouches."""
+        """Return whether a watcher confirms the feed."""
         return bool(self.waiting)
 
     def behind(self, kind):
-        """Tell whether the watcher knows more."""
+        """Return whether the watcher knows more: no."""
         return False
 
     async def next_update(self, kind, until):
-        """The next update."""
+        """Return the next update, or None."""
         return self.waiting.pop(0) if self.waiting else None
 
     def set_known_revision(self, kind, revision):
-        """What is known now."""
+        """Record the revision up to which the feed is known."""
         self.known.append(revision)
 
     def store_lost(self, kind):
-        """The store does not answer."""
+        """Do nothing."""
 
     def store_recovered(self, kind):
-        """The store answers."""
+        """Do nothing."""
 
 
-def test_news_that_were_passed_on_are_taken_like_those_of_the_store():
+def test_relayed_updates_are_applied_like_those_of_the_store():
     def update(revision, names=(), removed=(), whole=False):
         changed = {
             name: {"name": name, "revision": revision, "spec": {}, "created": 1}
@@ -615,7 +615,7 @@
     with_store(main)
 
 
-def test_followers_leave_a_store_that_is_away_alone():
+def test_followers_call_an_unavailable_store_less_often():
     """Guards against the cost of a fleet's calls to an unavailable store.
 
     Without a confirmed watcher each daemon called for each kind every second, though
@@ -623,12 +623,12 @@
     """
 
     class AwayStore:
-        """Refuses everything; counts the calls."""
+        """Fails every call; counts them."""
 
         calls = 0
 
         async def watch(self, kind, revision, *, wait_ms):
-            """One watch."""
+            """Count and fail a watch."""
             self.calls += 1
             raise StoreError("away", step="watch", peer="store")
 
@@ -658,25 +658,25 @@
         assert 2 * follower <= watcher
 
 
-def test_who_becomes_a_watcher_in_the_middle_of_a_call_passes_on_no_part_of_a_list():
+def test_a_daemon_that_becomes_a_watcher_during_a_call_relays_no_partial_list():
     """Guards against followers that know one upstream of thirty.
 
-    A follower that became a watcher during its own watch relayed the change of that
-    answer as if it followed on a list, which it had never relayed.
+    A follower that became a watcher during its own watch relayed the changes of that
+    answer as if they followed on a list, which it had never relayed.
     """
 
     class Store:
-        """One object listed, another one changed; what a call ends, it begins with."""
+        """A store whose watch call makes this daemon a watcher."""
 
         def __init__(self, follower):
             self.follower = follower
 
         async def list_objects(self, kind):
-            """The whole list."""
+            """Return the whole list."""
             return [StoredObject(name="a", revision=1, spec={})], 1
 
         async def watch(self, kind, revision, *, wait_ms):
-            """A change, and this daemon is a watcher from now on."""
+            """Return a change; this daemon is a watcher from now on."""
             self.follower.watcher = True
             obj = StoredObject(name="b", revision=2, spec={})
             return [store_module.Change(obj=obj, deleted=False)], 2
@@ -687,7 +687,7 @@
         watcher = False
 
         def watches(self):
-            """Tell whether it is one now."""
+            """Return whether it is a watcher now."""
             return self.watcher
 
     async def main():
--- a/tests/platform/test_workspaces.py
+++ b/tests/platform/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces and keys as the operator writes them, and as daemons pass them on."""
+"""Workspaces and keys as the operator writes them, and as daemons relay them."""
 
 import json
 
@@ -37,7 +37,7 @@
     assert not catalog.requires_key(catalog.routes["orders"])
 
 
-def test_with_an_empty_part_nobody_has_one():
+def test_with_an_empty_part_no_caller_has_a_valid_key():
     catalog = read_catalog({**CONFIG, "tenants": []})
     assert catalog.requires_key(catalog.routes["orders"])
     assert catalog.key_workspaces == {}
@@ -59,7 +59,7 @@
     ],
 )
 def test_unusable_workspaces_make_the_whole_version_unusable(tenants):
-    """The one in force stays, and no key is in what is logged of it."""
+    """The version in force stays, and the logged error contains no key."""
 
     async def main():
         rig = Rig(keys=KEYS)
@@ -74,11 +74,10 @@
     run(main())
 
 
-def test_what_is_passed_to_other_daemons_has_digests_for_keys():
-    """Symptom: keys travel between daemons, and lie in the memory of each.
+def test_relayed_configurations_have_digests_for_keys():
+    """Guards against keys in messages to, and in the memory of, other daemons.
 
-    Sequence: a watcher passes the configuration on. Cause: objects were passed on as
-    the store has them.
+    A watcher relays the configuration. Objects were relayed as the store has them.
     """
     obj = StoredObject(name=CONFIG_NAME, revision=5, spec=KEYED)
     passed = without_keys(to_builtins(obj))
@@ -87,7 +86,7 @@
     assert without_keys(passed) == passed
 
 
-def test_a_feed_passes_on_what_it_is_told_to():
+def test_a_feed_relays_objects_converted_by_relay_transform():
     class Taker:
         def __init__(self):
             self.passed = None
@@ -110,7 +109,7 @@
     assert "apiKeys" not in json.dumps(relay.passed)
 
 
-def test_a_malformed_part_stays_unusable_when_it_is_passed_on():
+def test_a_malformed_part_stays_unusable_when_it_is_relayed():
     obj = StoredObject(name=CONFIG_NAME, revision=5, spec={**KEYED, "tenants": [7]})
     with pytest.raises(ValueError):
         read_catalog(without_keys(to_builtins(obj))["spec"])
@@ -145,7 +144,7 @@
 @pytest.mark.parametrize(
     ("workspace", "who"), [("north", "north"), ("", DEFAULT_CLIENT_NAME)]
 )
-def test_an_upstream_is_told_whose_statements_come(monkeypatch, workspace, who):
+def test_an_upstream_gets_the_workspace_at_startup(monkeypatch, workspace, who):
     async def main():
         rig = Rig()
         sent = []
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -58,10 +58,10 @@
 
 
 def test_statements_that_would_miss_their_deadline_are_refused_at_once():
-    """Callers must not wait until their deadline for nothing.
+    """Callers must not wait until their deadline and then be refused.
 
     If every statement joins the queue whatever its length, callers of an overloaded
-    upstream wait to their deadline and are only then told that there was no time.
+    upstream are refused for lack of time only at their deadline.
     """
     queue = full_queue()
     waiting = 0
--- a/tests/policy/test_draining.py
+++ b/tests/policy/test_draining.py
@@ -44,7 +44,7 @@
     )
 
 
-def test_single_statements_that_nobody_else_can_run_are_accepted_to_the_end():
+def test_single_statements_that_no_other_daemon_can_run_are_accepted_to_the_end():
     assert accepts_work(
         PLAN, PLAN.answers_due, opens_transaction=False, last_resort=True
     )
@@ -82,7 +82,7 @@
 
 
 def test_an_owner_must_try_when_others_could_not():
-    """Statements must not go round all owners for nothing.
+    """Statements must not be handed on by all owners without being run.
 
     After a power loss of all daemons no owner has proven a primary yet. Each hands
     statements on to the next one, unless one of them must try.
--- a/tests/sessions/chaos.py
+++ b/tests/sessions/chaos.py
@@ -1,6 +1,6 @@
 """Random callers and random faults over one group.
 
-Every promise is checked against the replies that callers received and the statements
+Every guarantee is checked against the replies that callers received and the statements
 that the fake upstreams ran.
 """
 
@@ -100,7 +100,7 @@
 
 
 async def write(rig, checker, caller):
-    """Run a single write of data that nobody else writes."""
+    """Run a single write of data that no other caller writes."""
     data = caller.next_request
     reply = await caller.send(f"WRITE {data} {data}")
     if reply.ok:
@@ -476,7 +476,7 @@
 async def run_chaos(
     seed, faults=BASIC_FAULTS, daemons=3, max_connections=34, keys=None
 ):
-    """Run one seed; returns the broken promises and the rig."""
+    """Run one seed; returns the violated guarantees and the rig."""
     rng = Random(seed)
     rig = Rig(daemons=daemons, max_connections=max_connections, keys=keys)
     checker = Checker(rig=rig)
@@ -550,5 +550,5 @@
 
 
 def broken_promises(seed, faults=BASIC_FAULTS, **fleet):
-    """Run one seed; returns the broken promises."""
+    """Run one seed; returns the violated guarantees."""
     return run(run_chaos(seed, faults, **fleet))[0]
--- a/tests/sessions/fakegroup.py
+++ b/tests/sessions/fakegroup.py
@@ -1,7 +1,7 @@
 """In-memory database group with logs, terms, replication, promotion and faults.
 
 It answers as the user documentation says upstreams do, and records what callers were
-told so that tests can check the guarantees.
+answered so that tests can check the guarantees.
 """
 
 import asyncio
@@ -150,7 +150,7 @@
         return self.revision
 
     def add(self, count=3):
-        """Add members; the first leads if nobody does."""
+        """Add members; the first leads if there is no leader."""
         for _ in range(count):
             member = FakeMember(id=f"u{len(self.members) + 1}", group=self)
             self.members.append(member)
--- a/tests/sessions/fakelinks.py
+++ b/tests/sessions/fakelinks.py
@@ -36,7 +36,7 @@
         return until - now
 
     def is_cut(self, one, other):
-        """Tell whether no message can pass between two daemons."""
+        """Return whether no message can pass between two daemons."""
         silent = self.frozen | self.dead
         return frozenset({one, other}) in self.cut or bool(silent & {one, other})
 
@@ -144,7 +144,7 @@
                 self.receiver.frame_received(data)
 
     async def probe(self, timeout):
-        """Tell whether the other end answers."""
+        """Return whether the peer answers."""
         if not self.alive or self.links.is_cut(self.at, self.to):
             await asyncio.sleep(timeout)
             return False
@@ -152,7 +152,7 @@
         return self.alive
 
     def close(self):
-        """Close; the other end is told after a delay, unless it is cut off."""
+        """Close; the peer is notified after a delay, unless it is cut off."""
         if self.alive:
             self.alive = False
             self.links.open.remove(self)
@@ -160,7 +160,7 @@
                 self.links.loop.call_later(ONE_WAY_DELAY, self.other.end, "closed")
 
     def end(self, why):
-        """Close because the other end is gone, and tell the receiver."""
+        """Close because the peer has ended, and notify the receiver."""
         if self.alive:
             self.close()
             self.receiver.link_lost(why)
--- a/tests/sessions/rig.py
+++ b/tests/sessions/rig.py
@@ -58,7 +58,7 @@
         return {"db": self.lease}, self.group.revision
 
     async def acquire(self, group, holder, seen):
-        """Acquire the lease if nobody changed it."""
+        """Acquire the lease if it has not changed meanwhile."""
         self.calls += 1
         await asyncio.sleep(0.004)
         if self.down:
@@ -78,7 +78,7 @@
         return self.lease
 
     async def settle(self, group, lease):
-        """Mark a lease as settled if nobody changed it."""
+        """Mark a lease as settled if it has not changed meanwhile."""
         self.calls += 1
         await asyncio.sleep(0.004)
         if self.down:
--- a/tests/sessions/test_chaos.py
+++ b/tests/sessions/test_chaos.py
@@ -1,4 +1,4 @@
-"""Random runs: no promise to callers is broken, and planted faults are detected."""
+"""Random runs: no guarantee to callers is violated, and planted faults are detected."""
 
 import os
 
@@ -28,7 +28,7 @@
 # 10: all daemons restart while the list is incomplete and no members are recorded yet;
 # 18: a member's lost entry returns and counts as known to a takeover;
 # 33: as 10, and because of suspended time the incomplete list counts as complete;
-# 62, 65: a delayed order pauses replicas while nobody writes;
+# 62, 65: a delayed order pauses replicas while no caller writes;
 # 176: the holder of a takeover dies, and its order takes effect ten seconds late;
 # 187: the grace period of missing members ends while all daemons are suspended.
 FOUND_EXTENDED_SEEDS = [10, 18, 33, 62, 65, 176, 187]
@@ -52,12 +52,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_promise_is_broken(seed):
+def test_no_guarantee_is_violated(seed):
     assert broken_promises(seed) == []
 
 
 @pytest.mark.parametrize("seed", EXTENDED_SEEDS)
-def test_no_promise_is_broken_with_extended_faults(seed):
+def test_no_guarantee_is_violated_with_extended_faults(seed):
     assert broken_promises(seed, EXTENDED_FAULTS) == []
 
 
@@ -66,12 +66,12 @@
 
 
 @pytest.mark.parametrize("seed", range(COUNT))
-def test_no_promise_is_broken_through_owners(seed):
+def test_no_guarantee_is_violated_through_owners(seed):
     assert broken_promises(seed, OWNER_FAULTS, **OWNERS) == []
 
 
 @pytest.mark.parametrize("seed", range(COUNT))
-def test_no_promise_is_broken_to_callers_with_keys(seed):
+def test_no_guarantee_is_violated_for_callers_with_keys(seed):
     assert broken_promises(seed, KEY_FAULTS, keys=KEYS, **OWNERS) == []
 
 
--- a/tests/sessions/test_confirm.py
+++ b/tests/sessions/test_confirm.py
@@ -70,7 +70,7 @@
             conn.silent = True
 
 
-def test_a_daemon_that_can_ask_no_replica_turns_writes_away():
+def test_a_daemon_that_can_ask_no_replica_refuses_writes():
     """Guards against writes reported as in doubt that could be retried elsewhere.
 
     A daemon loses the replicas but still reaches the primary. It must not run writes
@@ -117,7 +117,7 @@
     run(main())
 
 
-def test_without_a_connection_to_any_replica_writes_are_turned_away():
+def test_without_a_connection_to_any_replica_writes_are_refused():
     """Guards against commits in doubt after all daemons lost power.
 
     The replicas still count the lost connections and accept no new ones, so a daemon
@@ -140,13 +140,13 @@
     run(main())
 
 
-def test_a_commit_that_nobody_can_be_asked_of_is_in_doubt():
+def test_a_commit_without_a_replica_to_ask_is_in_doubt():
     """Guards against an acknowledged commit that is missing after a promotion.
 
     A daemon loses the replicas; the primary is cut off from them and replaced. A new
     member joins the old primary, which then acknowledges a commit at once. Without a
-    replica to ask, such a commit must not be trusted even though it did not have to
-    wait.
+    replica to ask, such a commit must not count as confirmed even though it did not
+    have to wait.
     """
 
     async def main():
@@ -198,7 +198,7 @@
     run(main())
 
 
-def test_all_commits_that_waited_through_a_standstill_are_in_doubt():
+def test_all_commits_that_waited_through_a_stall_are_in_doubt():
     """Guards against commits acknowledged although a takeover may lose them.
 
     Several commits wait while the primary and this daemon are cut off from the
--- a/tests/sessions/test_departed_members.py
+++ b/tests/sessions/test_departed_members.py
@@ -67,7 +67,7 @@
     run(main())
 
 
-def test_a_primary_that_is_gone_with_an_unacknowledged_tail_is_not_waited_for():
+def test_a_departed_primary_with_an_unacknowledged_tail_is_not_waited_for():
     """Guards against writes stalling for fifteen seconds after a primary is gone.
 
     A commit waits at the primary that no replica receives. The primary crashes while a
--- a/tests/sessions/test_drain.py
+++ b/tests/sessions/test_drain.py
@@ -66,7 +66,7 @@
     run(main())
 
 
-def test_a_transaction_that_takes_longer_is_told_so_and_not_cut():
+def test_a_transaction_that_takes_longer_is_aborted_and_its_connection_kept():
     """Guards against a statement that is read but never answered.
 
     The caller's statement arrives while the drain rolls its transaction back; the
--- a/tests/sessions/test_feeds_behind.py
+++ b/tests/sessions/test_feeds_behind.py
@@ -21,14 +21,14 @@
 
 
 def test_a_follower_that_missed_a_large_change_catches_up():
-    """Guards against a follower that takes itself for up to date after a missed change.
+    """Guards against a follower that counts as up to date after a missed change.
 
     Seven of 74 daemons used configuration 4 until the 23rd second, while 16 was in
-    force everywhere else, and did not ask the store: "relay behind feed=config
-    known=... vouched=... taken_for_current=True". The store had rejected their calls
+    force everywhere else, and did not ask the store. Their logs showed that each was
+    behind its watcher but counted as up to date. The store had rejected their calls
     while the change was made, which was too large to be relayed. Afterwards their
-    watcher confirmed a later revision than theirs, and they took that for being up to
-    date.
+    watcher confirmed a later revision than theirs, which was wrongly treated as proof
+    that they were up to date.
     """
 
     async def main():
@@ -48,7 +48,7 @@
 
     A daemon misses a large change while it does not reach the store, then applies a
     small one that is relayed. Updates did not contain the revision that they start
-    from, so the daemon took itself for caught up to theirs.
+    from, so the daemon counted as up to date at the revision of the small one.
     """
 
     async def main():
--- a/tests/sessions/test_fleet_store_return.py
+++ b/tests/sessions/test_fleet_store_return.py
@@ -56,7 +56,7 @@
 
 @pytest.mark.parametrize("daemons", [9, 65])
 def test_daemons_keep_their_places_while_entries_are_lost(daemons):
-    """Guards against daemons that each take themselves for the only one."""
+    """Guards against daemons that each consider themselves the only one."""
 
     async def main():
         rig = FleetRig(daemons=daemons)
--- a/tests/sessions/test_handover.py
+++ b/tests/sessions/test_handover.py
@@ -31,7 +31,7 @@
 def test_writes_go_on_while_a_leaving_primary_hands_over():
     """Guards against writes stalling for a second whenever a primary leaves.
 
-    If a leaving primary were results to step down first, no member would lead until the
+    If a leaving primary had to step down first, no member would lead until the
     promotion took effect.
     """
 
--- a/tests/sessions/test_incarnations.py
+++ b/tests/sessions/test_incarnations.py
@@ -62,7 +62,7 @@
     assert list(roster.members) == ["u@2"]
 
 
-def test_a_start_that_is_on_record_and_over_is_not_recalled():
+def test_a_recorded_incarnation_that_was_replaced_is_not_added():
     roster = make_roster()
     roster.update(SECOND)
     roster.add_recorded([FIRST])
@@ -84,7 +84,7 @@
         rig.catch_up(proxy)
 
 
-def test_nothing_that_was_kept_of_a_replica_outlives_its_start():
+def test_state_kept_of_a_replica_does_not_outlive_its_incarnation():
     """Guards against a read that waits for a position an empty replica does not have.
 
     A replica restarts empty under its name. Its connections, last position and mean
@@ -106,7 +106,7 @@
     run(main())
 
 
-def test_a_replica_that_came_back_empty_confirms_nothing_during_a_takeover():
+def test_a_replica_that_restarted_empty_confirms_nothing_during_a_takeover():
     async def main():
         rig = Rig()
         await rig.settle()
@@ -120,7 +120,7 @@
     run(main())
 
 
-def test_a_replica_that_came_back_empty_is_not_promoted_over_a_log():
+def test_a_replica_that_restarted_empty_is_not_promoted_over_a_log():
     """Guards against commits lost by a promotion.
 
     A replica restarts empty and receives nothing, then the primary crashes. The empty
@@ -143,10 +143,10 @@
     run(main())
 
 
-def test_a_primary_that_came_back_empty_is_replaced_by_a_log_that_is_whole():
+def test_a_primary_that_restarted_empty_is_replaced_by_a_complete_log():
     """Guards against losing all data when the primary restarts empty under its name.
 
-    The new process must not be taken for the primary that it was.
+    The new process must not count as the primary that it was.
     """
 
     async def main():
@@ -163,7 +163,7 @@
     run(main())
 
 
-def test_a_member_that_started_again_is_not_promoted_by_its_name():
+def test_a_member_that_restarted_is_not_promoted_by_its_name():
     """Guards against an empty upstream that becomes the leader.
 
     A takeover chooses a member, which restarts before the order. The platform knows
@@ -182,7 +182,7 @@
     run(main())
 
 
-def test_a_paused_member_that_starts_again_empty_is_not_taken_for_the_paused_one():
+def test_a_paused_member_that_restarts_empty_does_not_count_as_paused():
     """Guards against promoting an empty upstream whose earlier process was paused.
 
     A takeover pauses both replicas and its order gets no answer. The ordered replica
@@ -210,7 +210,7 @@
     run(main())
 
 
-def test_an_empty_replica_confirms_nothing_while_the_list_does_not_tell_of_it():
+def test_an_empty_replica_confirms_nothing_while_the_list_lacks_its_restart():
     """Guards against an acknowledged commit that only the primary has.
 
     The store is down. One replica restarts empty and receives nothing, the other is cut
@@ -232,8 +232,8 @@
     run(main())
 
 
-def test_only_the_end_of_several_starts_is_seen():
-    """An incarnation that came and went during an outage is skipped."""
+def test_an_incarnation_that_was_never_listed_is_skipped():
+    """An incarnation that started and ended during an outage is skipped."""
     roster = make_roster()
     roster.update(FIRST)
     third = replace(FIRST, id="u@3", born=3, changed=20)
--- a/tests/sessions/test_lease_view.py
+++ b/tests/sessions/test_lease_view.py
@@ -74,7 +74,7 @@
 def test_a_lease_without_a_holder_is_not_a_takeover():
     """Guards against unconfirmable commits after the first read of a lease.
 
-    A daemon that is about to take a lease that nobody ever held records what it read:
+    A daemon that is about to acquire a lease that was never held records what it read:
     revision 0. That must not count as a takeover older than all members.
     """
     view, _ = make_view()
@@ -93,7 +93,7 @@
     assert view.member_known("g", 7)
 
 
-def test_a_connection_that_is_younger_than_a_takeover_is_not_trusted():
+def test_a_connection_opened_after_a_takeover_began_is_no_proof():
     view, clock = make_view()
     assert view.connection_trusted("g", clock.now)
     view.record("g", lease(1, 20))
--- a/tests/sessions/test_leaving.py
+++ b/tests/sessions/test_leaving.py
@@ -63,10 +63,10 @@
     return other, owner, draining
 
 
-def test_link_opened_during_a_drain_is_told_of_it():
+def test_link_opened_during_a_drain_carries_the_notice():
     """Guards against transactions that are opened at a draining daemon and rolled back.
 
-    A link that is opened after the drain began has to be told of it, too.
+    A link that is opened after the drain began has to carry the notice of it, too.
     """
 
     async def main():
@@ -102,7 +102,7 @@
     run(main())
 
 
-def test_link_that_replaces_a_broken_one_is_told_of_a_drain():
+def test_link_that_replaces_a_broken_one_carries_the_notice():
     """Guards against the same after the link that announced the drain was reset."""
 
     async def main():
--- a/tests/sessions/test_outcomes.py
+++ b/tests/sessions/test_outcomes.py
@@ -103,7 +103,7 @@
     run(main())
 
 
-def test_work_is_refused_with_a_time_to_come_back_while_nobody_leads():
+def test_work_is_refused_with_a_retry_time_without_a_leader():
     async def main():
         rig = Rig()
         await rig.settle()
--- a/tests/sessions/test_owner_without_primary.py
+++ b/tests/sessions/test_owner_without_primary.py
@@ -48,7 +48,7 @@
 
 
 def test_without_any_primary_the_last_owner_waits_for_the_next_one():
-    """Where no owner has a primary, work is not handed on until its deadline."""
+    """If no owner has a primary, work is not handed on until its deadline."""
 
     async def main():
         rig, caller = await cut_owner()
--- a/tests/sessions/test_peer_reachability.py
+++ b/tests/sessions/test_peer_reachability.py
@@ -13,7 +13,7 @@
 from tests.sessions.writers import check_nothing_lost, write_for
 
 
-def test_only_fresh_proofs_vouch():
+def test_only_recent_proofs_confirm_the_primary():
     assert (
         confirms_primary(0.1)
         and not confirms_primary(CONFIRMATION_VALID_FOR)
@@ -146,7 +146,7 @@
 def test_callers_wait_for_the_next_primary_when_helpers_have_lost_it_as_well():
     """Guards against callers using up their retries within milliseconds of a failure.
 
-    A daemon loses the primary, and another daemon that vouched for it loses it too.
+    A daemon loses the primary, and another daemon that had confirmed it loses it too.
     The fact that no helper took the statement must not be returned as a refusal.
     """
 
--- a/tests/sessions/test_pending_reads.py
+++ b/tests/sessions/test_pending_reads.py
@@ -72,7 +72,7 @@
     run(main())
 
 
-def test_values_change_as_soon_as_an_owner_tells_that_the_read_has_ended():
+def test_values_change_as_soon_as_an_owner_reports_that_the_read_has_ended():
     """Guards against refusing SET although the read ended long before.
 
     On a route with a statement timeout of five seconds an owner answers a read that
--- a/tests/sessions/test_pool.py
+++ b/tests/sessions/test_pool.py
@@ -177,7 +177,7 @@
     run(main())
 
 
-def test_a_closed_pool_closes_what_comes_back():
+def test_a_closed_pool_closes_returned_connections():
     async def main():
         pool, _, _ = make_pool()
         held = await pool.acquire(values={}, timeout=1.0)
--- a/tests/sessions/test_recorder.py
+++ b/tests/sessions/test_recorder.py
@@ -113,12 +113,12 @@
     return proxy
 
 
-def test_a_daemon_that_starts_with_a_part_of_the_list_promotes_nobody():
+def test_a_daemon_that_starts_with_a_partial_list_promotes_no_member():
     """Guards against an acknowledged commit lost by a promotion.
 
     Leases expire while the store is down and all daemons lose power. The store comes
     back with one replica listed, which lags; the primary and the other replica are
-    listed a second later. A daemon without the record would take that replica for the
+    listed a second later. A daemon without the record would treat that replica as the
     whole group.
     """
 
@@ -192,7 +192,7 @@
 
 
 def test_a_record_that_the_store_lost_is_written_again():
-    """Guards against a start that takes some members for the whole group."""
+    """Guards against a starting daemon that treats some members as the whole group."""
 
     async def main():
         rig = Rig(daemons=3)
--- a/tests/sessions/test_remote.py
+++ b/tests/sessions/test_remote.py
@@ -133,12 +133,12 @@
     run(main())
 
 
-def test_a_transaction_whose_owner_is_lost_is_rolled_back_for_good():
+def test_a_transaction_whose_owner_is_lost_is_rolled_back_permanently():
     """Guards against committing a transaction that was reported as rolled back.
 
     A transaction writes at an owner, the owner freezes, the caller gets the refusal,
     and the owner resumes and reads a queued COMMIT. The COMMIT reached it over a link
-    that the other end had closed.
+    that the peer had closed.
     """
 
     async def main():
--- a/tests/sessions/test_roster.py
+++ b/tests/sessions/test_roster.py
@@ -37,7 +37,7 @@
     return [item.id for _ in range(count) for item in roster.expire()]
 
 
-def test_a_vanished_entry_is_kept_for_its_grace():
+def test_a_vanished_entry_is_kept_for_its_grace_period():
     """Guards against losing all upstreams after an outage of the store.
 
     The entries' leases expire during the outage; the store comes back with an empty
@@ -61,7 +61,7 @@
     assert roster.of_group("g") == []
 
 
-def test_a_member_that_comes_back_has_its_whole_grace_again():
+def test_a_relisted_member_has_a_whole_grace_period_again():
     roster, _ = make_roster()
     roster.update(member("a"))
     roster.mark_missing("a")
@@ -72,11 +72,11 @@
     assert run_checks(roster, 9) == []
 
 
-def test_suspended_time_is_no_grace():
+def test_suspended_time_does_not_count_as_grace_period():
     """Guards against an acknowledged commit lost by a promotion.
 
     Entries vanish and the daemon is suspended for longer than their grace period. If
-    the time counted, it would take the remaining members for the whole group.
+    the time counted, it would treat the remaining members as the whole group.
     """
     roster, clock = make_roster()
     roster.update(member("a"))
@@ -93,7 +93,7 @@
     assert roster.update(member("a")).leaving_since is None
 
 
-def test_what_is_on_record_is_missing_until_it_is_listed():
+def test_members_on_record_are_missing_until_they_are_listed():
     roster, clock = make_roster()
     roster.update(member("a", joined=50))
     roster.add_recorded([member("a", joined=3), member("b", joined=4)])
@@ -118,7 +118,7 @@
     assert roster.update(member("a", joined=90)).joined == 90
 
 
-def test_a_member_that_leaves_still_does_after_the_store_returned_from_a_copy():
+def test_a_leaving_member_is_still_leaving_after_the_store_was_restored():
     """Guards against new work for a leaving member whose report the backup lacks."""
     roster, _ = make_roster()
     roster.update(member("a", leaving=True, changed=make_revision(1, 9)))
--- a/tests/sessions/test_sessions.py
+++ b/tests/sessions/test_sessions.py
@@ -121,7 +121,7 @@
     run(main())
 
 
-def test_idle_transaction_is_rolled_back_and_the_caller_is_told():
+def test_idle_transaction_is_rolled_back_and_the_caller_notified():
     async def main():
         rig = Rig()
         await rig.settle()
@@ -172,7 +172,7 @@
     run(main())
 
 
-def test_an_older_configuration_never_comes_back():
+def test_an_older_configuration_is_never_applied():
     async def main():
         rig = Rig(version=5)
         rig.proxy.offer_catalog(catalog(4), "late answer")
--- a/tests/sessions/test_settling.py
+++ b/tests/sessions/test_settling.py
@@ -36,7 +36,7 @@
 
     A primary is cut off from its replicas. One daemon pauses them and orders a
     promotion. Another daemon, which still reaches the primary, sees writes stall and
-    finds the replicas paused. If it took the pause for an abandoned one and resumed
+    finds the replicas paused. If it treated the pause as an abandoned one and resumed
     them, the primary could acknowledge commits once its connections are restored, and
     the promotion would discard them.
     """
--- a/tests/sessions/test_takeover.py
+++ b/tests/sessions/test_takeover.py
@@ -57,7 +57,7 @@
     assert len(first) >= 6
 
 
-def test_a_dark_primary_is_replaced_and_no_acknowledged_write_is_lost():
+def test_an_unresponsive_primary_is_replaced_and_no_acknowledged_write_is_lost():
     async def main():
         rig = Rig(daemons=3)
         await rig.settle()
@@ -119,7 +119,7 @@
 def test_a_daemon_that_alone_is_cut_off_causes_no_data_loss():
     """Guards against losing acknowledged writes when a healthy primary is replaced.
 
-    One daemon loses its path to the primary only, takes the primary for dead and
+    One daemon loses its path to the primary only, considers the primary dead and
     replaces it while the other daemons continue to write.
     """
 
@@ -146,8 +146,8 @@
     """Guards against a takeover right after a power loss of all daemons.
 
     All daemons restart at once. For three seconds the upstreams still count the old
-    connections and refuse new ones. A primary that no daemon could ask would be taken
-    for dead although it answered the dials.
+    connections and refuse new ones. A primary that no daemon could ask would count as
+    dead although it answered the dials.
     """
 
     async def main():
@@ -264,7 +264,7 @@
     run(main())
 
 
-def test_a_start_before_all_members_are_listed_replaces_nobody():
+def test_a_start_before_all_members_are_listed_replaces_no_primary():
     """Guards against a takeover while a group starts.
 
     The replicas are listed seconds before the primary. A group whose primary is not
--- a/tests/standins/grouplog.py
+++ b/tests/standins/grouplog.py
@@ -31,7 +31,7 @@
         self.reset_state()
 
     def reset_state(self):
-        """Forget everything that entries built."""
+        """Clear everything that entries built."""
         raise NotImplementedError
 
     def apply_entry(self, entry):
@@ -39,7 +39,7 @@
         raise NotImplementedError
 
     def claim_holder(self):
-        """Who holds the claim, as this member's state shows it."""
+        """The holder of the claim, as this member's state shows it."""
         raise NotImplementedError
 
     @property
@@ -48,15 +48,15 @@
         return self.log[-1].term if self.log else 1
 
     def heard_ms(self, now):
-        """Milliseconds since a replica heard its source, -1 at a primary."""
+        """Milliseconds since a replica last heard its source, -1 at a primary."""
         return -1.0 if self.primary else (now - self.heard_at) * 1000
 
     def take_discarded(self):
-        """How many entries the last follow cut off; told once."""
+        """Return and reset the number of entries that the last follow cut off."""
         discarded, self.discarded = self.discarded, 0
         return discarded
 
-    # Group verbs
+    # Group commands
 
     def fence(self, term):
         """Promise a strictly higher term; an older primary stops."""
--- a/tests/standins/objectstore.py
+++ b/tests/standins/objectstore.py
@@ -11,14 +11,14 @@
 
 LIST_SIZE = 500
 MAX_VALUE = 1 << 20
-# Bytes that a slow link carries at a time, and seconds for which a silent one is so.
+# Bytes that a slow link transfers at a time, and seconds for which a link stalls.
 TRICKLE_BYTES = 8 << 10
 STALL_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoreCopy:
-    """What a store holds at a moment."""
+    """A copy of a store's contents."""
 
     revision: int
     kinds: dict
@@ -26,13 +26,13 @@
 
 
 class ObjectStore:
-    """Objects by kind and name, one rising revision, a history for watches.
+    """Objects by kind and name, one increasing revision, and a history for watches.
 
-    `refuse` is a status that every call gets; `silent` holds every answer back, `slow`
-    for some seconds; `lose` is how many writes are done and not answered; `rate` is how
-    many bytes a second each answer comes in, 0 for at once; `stall_after` is how many
-    bytes come before an answer stands still, 0 for none that does. Every answer names
-    the `era`, unless that is 0.
+    `refuse` is a status that every call gets; `silent` withholds every answer, `slow`
+    delays it by some seconds; `lose` is how many writes take effect without an answer;
+    `rate` is how many bytes a second an answer transfers, 0 for no limit; after
+    `stall_after` bytes an answer stalls, 0 for never. Every answer names the `era`,
+    unless that is 0.
     """
 
     def __init__(self):
@@ -53,7 +53,7 @@
         self.promote = None
 
     def put(self, kind, name, spec):
-        """Write an object, whatever it was."""
+        """Write an object unconditionally."""
         self.revision += 1
         known = self.kinds.setdefault(kind, {}).get(name)
         created = known["meta"]["createdRev"] if known else self.revision
@@ -78,18 +78,18 @@
         return obj
 
     def note(self, kind, obj, *, deleted):
-        """Keep a change for watches and wake them."""
+        """Record a change for watches and wake them."""
         self.history.append((self.revision, kind, {"object": obj, "deleted": deleted}))
         self.changed.set()
         self.changed = asyncio.Event()
 
     def forget_history(self):
-        """Drop the history: watches from before get 410."""
+        """Drop the history: watches from earlier revisions get 410."""
         self.oldest = self.revision
         self.history.clear()
 
     def copy(self):
-        """A copy to return from."""
+        """Return a copy from which the store can be restored."""
         return StoreCopy(
             revision=self.revision,
             kinds=deepcopy(self.kinds),
@@ -97,7 +97,7 @@
         )
 
     def return_from(self, copy):
-        """Return from a copy: what came after it is lost, its revisions come again."""
+        """Restore a copy: later changes are lost and their revisions are reused."""
         self.era += 1
         self.revision = copy.revision
         self.kinds = deepcopy(copy.kinds)
@@ -121,14 +121,14 @@
 
 
 class StoreHandler(RequestHandler):
-    """What all calls share: faults, JSON."""
+    """Base handler: faults and JSON answers."""
 
     def initialize(self, store):
-        """Take the store."""
+        """Set the store."""
         self.store = store
 
     def name_era(self):
-        """Name the era that the store is in as it answers."""
+        """Name the store's current era in the answer."""
         if self.store.era:
             self.set_header("Store-Era", str(self.store.era))
 
@@ -160,7 +160,7 @@
         self.finish(json.dumps(body))
 
     async def deliver(self, body):
-        """Answer as over a slow link, or one that goes silent in the middle."""
+        """Send an answer over a slow link, or one that stalls in the middle."""
         if not (self.store.rate or self.store.stall_after):
             self.answer(body)
             return
@@ -180,10 +180,10 @@
 
 
 class KindHandler(StoreHandler):
-    """Lists, watches, creates."""
+    """Lists and watches objects of a kind, and creates them."""
 
     async def get(self, kind):
-        """The objects of a kind, or what has changed."""
+        """Return the objects of a kind, or their changes."""
         since = self.get_query_argument("watch", None)
         if since is not None:
             await self.watch(kind, int(since))
@@ -237,10 +237,10 @@
 
 
 class NameHandler(StoreHandler):
-    """One object."""
+    """Reads, replaces and deletes one object."""
 
     def get(self, kind, name):
-        """The object, or 404."""
+        """Return the object, or 404."""
         known = self.store.kinds.get(kind, {}).get(name)
         self.answer(known or {"error": "missing"}, 200 if known else 404)
 
@@ -269,10 +269,10 @@
 
 
 class PromoteHandler(StoreHandler):
-    """The platform's call that promotes."""
+    """The platform's promotion call."""
 
     def post(self):
-        """Hand the order to whoever plays the group."""
+        """Record the token and holder of an order, and carry it out."""
         body = json.loads(self.request.body)
         token = int(self.request.headers["X-Fencing-Token"])
         self.store.orders.append((token, self.request.headers["X-Lease-Holder"]))
--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -19,31 +19,31 @@
 
 
 class SwitchHandler(RequestHandler):
-    """A test switch: it works whatever is wrong with the store."""
+    """Base of the test switches, which work despite the store's faults."""
 
     def initialize(self, store):
-        """Take the store."""
+        """Set the store."""
         self.store = store
 
 
 class InstancesHandler(SwitchHandler):
-    """The instance list."""
+    """Test switch: the instance list."""
 
     def put(self):
-        """Set the list."""
+        """Replace the list."""
         self.store.put(INSTANCE_KIND, INSTANCE_NAME, json.loads(self.request.body))
         self.finish({})
 
 
 class FaultsHandler(SwitchHandler):
-    """What is wrong, and how many calls came."""
+    """Test switch: the store's faults and call counts."""
 
     def get(self):
-        """Calls by method."""
+        """Return the number of calls by method."""
         self.finish({"calls": Counter(method for method, _ in self.store.calls)})
 
     def put(self):
-        """Set the faults; what is left out is well again."""
+        """Set the faults; those left out are ended."""
         faults = json.loads(self.request.body)
         self.store.refuse = DOWN if faults.get("down") else 0
         self.store.slow = faults.get("slow_s", 0.0)
--- a/tests/standins/platformworld.py
+++ b/tests/standins/platformworld.py
@@ -1,4 +1,4 @@
-"""Real daemons of the platform's form over stand-ins: a store, one group, callers."""
+"""Platform daemons as processes over stand-ins: a store, one group, callers."""
 
 import asyncio
 import json
@@ -22,17 +22,17 @@
 MAX_TRIES = 600
 TRY_INTERVAL = 0.05
 ANSWER_LIMIT = 30.0
-# A daemon that stands still answers no probe: it is not ready, seconds.
+# A daemon that does not answer a probe within this time is not ready, seconds.
 READY_LIMIT = 2.0
 PORT_CALLS = count()
-# Connections that an upstream takes: enough for all daemons to hold some.
+# Connections that an upstream accepts: enough for all daemons to hold some.
 CONNECTIONS = 40
 
 
 def configuration(version=1, connections=CONNECTIONS, tenants=None):
     """The operator's configuration: one database for each kind of route.
 
-    With `tenants` callers have to show a key of one of them.
+    With `tenants` callers have to present a key of one of them.
     """
     routes = [
         route("own", "read_your_writes", maxStalenessMs=2500),
@@ -62,7 +62,7 @@
 
 
 class World:
-    """Stand-ins in this process, daemons as processes of their own."""
+    """Stand-ins in this process, and daemons as processes."""
 
     def __init__(self, *, folder, connections=CONNECTIONS, tenants=None):
         self.folder = Path(folder)
@@ -103,7 +103,7 @@
         self.store.put(UPSTREAM_KIND, member.id, spec)
 
     def promote(self, group, upstream, token):
-        """The platform's call: fenced, in effect a moment later."""
+        """The platform's promotion call: fenced, takes effect a moment later."""
         member = self.group[upstream]
         if token < self.highest or member.dead:
             return False
@@ -134,7 +134,7 @@
         self.daemons[name] = await start_process(self.folder, settings)
 
     async def wait_ready(self, name):
-        """Wait until a daemon says that it is ready."""
+        """Wait until a daemon reports that it is ready."""
         for _ in range(MAX_TRIES):
             if await self.is_ready(name):
                 return
@@ -146,7 +146,7 @@
         return await probe_ready(self.ports[name][1])
 
     def crash(self, upstream):
-        """An upstream dies; its entry vanishes a moment later."""
+        """Crash an upstream; its entry vanishes a moment later."""
         member = self.group[upstream]
         self.servers[upstream].close()
         member.crash()
@@ -160,7 +160,7 @@
         return await daemon.wait()
 
     async def close(self):
-        """End what is still running."""
+        """Stop all that is still running."""
         for name in list(self.daemons):
             await self.stop(name, signal.SIGKILL)
         for server in self.servers.values():
@@ -168,7 +168,7 @@
 
 
 async def start_process(folder, settings):
-    """Start a daemon's process; its settings and log lie in the folder."""
+    """Start a daemon's process; its settings and log are in the folder."""
     path = folder / f"{settings['daemon']}.json"
     path.write_text(json.dumps(settings))
     with (folder / f"{settings['daemon']}.log").open("ab") as log:
@@ -184,7 +184,7 @@
 
 
 async def probe_ready(port):
-    """Ask the daemon at a port for probes whether it takes callers."""
+    """Ask the daemon at a probe port whether it accepts callers."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -198,7 +198,7 @@
 
 @asynccontextmanager
 async def world(folder, daemons=3):
-    """A world that is ended afterwards."""
+    """A world that is stopped afterwards."""
     made = World(folder=folder)
     try:
         await made.start(daemons)
@@ -272,13 +272,13 @@
         self.running = True
 
     async def run(self, callers=6):
-        """Run callers until told to stop."""
+        """Run callers until the load is stopped."""
         async with asyncio.TaskGroup() as group:
             for number in range(callers):
                 group.create_task(self.caller(number))
 
     async def caller(self, number):
-        """One caller; it comes back elsewhere when its connection ends."""
+        """Run one caller, which reconnects elsewhere when its connection ends."""
         turn = number
         while self.running:
             turn += 1
@@ -297,7 +297,7 @@
                 client.close()
 
     async def session(self, client):
-        """Write and read until the end or the connection's."""
+        """Write and read until the load is stopped or the connection ends."""
         while self.running:
             data = f"{client.name}x{client.sent}"
             self.in_doubt.append(data)
@@ -312,13 +312,13 @@
             await asyncio.sleep(TRY_INTERVAL / 5)
 
     async def read_back(self, client, data):
-        """The session's next read shows its last write."""
+        """Check that the session's next read shows its last write."""
         rows, end = await client.query(f"READ {client.name}")
         if end == "COMPLETE" and rows != [data]:
             self.stale.append((data, rows))
 
     def violations(self):
-        """Broken promises: what was lost, run twice, or run though refused."""
+        """Violations: writes lost, run twice, or run though refused; stale reads."""
         log = [data for entry in self.made.group.leader.log for _, data in entry.writes]
         lost = [data for data in self.acknowledged if data not in log]
         twice = [data for data in set(log) if log.count(data) > 1]
@@ -335,7 +335,7 @@
         }
 
     async def wait_acknowledged(self, more):
-        """Wait until so many more writes were acknowledged."""
+        """Wait until `more` further writes were acknowledged."""
         goal = len(self.acknowledged) + more
         for _ in range(MAX_TRIES):
             if len(self.acknowledged) >= goal:
@@ -347,7 +347,7 @@
 
 
 def free_port():
-    """A port that is free now, of those that the system gives nobody by itself."""
+    """A free port outside the range of ports that the system assigns."""
     for port in range(next_port(), 32000):
         with socket.socket() as sock:
             try:
--- a/tests/standins/sqlmember.py
+++ b/tests/standins/sqlmember.py
@@ -77,7 +77,7 @@
         return self.db.execute("SELECT holder FROM gypsum_claim").fetchone()[0]
 
     def status_row(self):
-        """The row that answers every group verb."""
+        """The row that answers every group command."""
         return (
             self.name,
             int(self.primary),
--- a/tests/standins/upstream.py
+++ b/tests/standins/upstream.py
@@ -5,7 +5,7 @@
 `CALL test_ship('ID', PORT)` tells it where another member ships its log from. Test
 switches are statements: `CALL test_lag(SHIP_MS, APPLY_MS)`,
 `CALL test_cut('ID', 0 or 1)` cuts shipping from a member, `CALL test_mute()` makes
-all open connections silent for good. A statement with `/* sleep=MS */` takes that
+all open connections silent permanently. A statement with `/* sleep=MS */` takes that
 long; one with `/* lose */` in a transaction makes its COMMIT take effect unanswered.
 """
 
@@ -96,7 +96,7 @@
             await asyncio.sleep(0.002)
 
     async def follow_primary(self):
-        """Keep following whoever we were told to follow."""
+        """Follow the primary that the member is set to follow; runs forever."""
         while True:
             source = self.member.follows
             if source in self.ship_ports and source not in self.cut:
@@ -156,10 +156,10 @@
                     member.apply_to(length)
             await asyncio.sleep(0.002)
 
-    # Group verbs and test switches
+    # Group commands and test switches
 
     def call(self, name, args):
-        """A stored procedure: group verbs answer with the status row."""
+        """Run a stored procedure: group commands answer with the status row."""
         member = self.member
         if name == "gypsum_fence":
             member.fence(int(args[0]))
@@ -211,7 +211,7 @@
         connection.ok = ok
 
     async def close(self):
-        """The client went away: what it left open is rolled back."""
+        """The client disconnected: roll back its open transaction."""
         self.tx = None
         self.upstream.sessions.discard(self)
         await super().close()
@@ -278,7 +278,7 @@
         return cursor.fetchall(), [item[0] for item in cursor.description]
 
     def changed(self, cursor):
-        """Tell how many rows a statement changed."""
+        """Return how many rows a statement changed."""
         self.affected = max(0, cursor.rowcount)
         self.last_id = cursor.lastrowid or 0
         return [], []
--- a/tests/standins/wireupstream.py
+++ b/tests/standins/wireupstream.py
@@ -1,4 +1,4 @@
-"""Upstreams that speak the platform's wire over TCP, backed by a group in memory."""
+"""Upstreams that speak the platform's wire protocol, backed by a group in memory."""
 
 import asyncio
 
@@ -60,10 +60,10 @@
 
 
 async def read_texts(reader, conn, texts):
-    """Read lines; the end of the connection ends what waits on it.
+    """Read lines; close the upstream's connection when the client closes its end.
 
-    What goes wrong without it: an upstream that stood still runs what its caller has
-    long given up and closed.
+    Otherwise an upstream that was unresponsive would run statements that its caller has
+    long abandoned.
     """
     splitter = LineSplitter()
     try:
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -50,7 +50,7 @@
     assert {site.name for site in load_sites()} >= {"ckp-halozat-large"}
 
 
-def test_large_sites_are_played_two_days_at_once():
+def test_large_sites_run_two_days_concurrently():
     jobs = {site.name: site.jobs for site in load_sites()}
     assert jobs["ckp-halozat-large"] == 2
     assert jobs["mhcs-claims"] == 4
@@ -66,10 +66,10 @@
     assert "played good 4" in (options.logs / "good.log").read_text()
 
 
-def test_a_failed_gate_and_a_site_without_a_result_are_told(make_options, capsys):
+def test_a_failed_gate_and_a_site_without_a_result_are_reported(make_options, capsys):
     """Guards against a table that omits sites without a result.
 
-    The bench gives up on one site, which then has no entry in the journal, and another
+    The bench aborts one site, which then has no entry in the journal, and another
     one fails its gate. Both have to be in the table.
     """
     assert main(make_options("good", "bad", "gone")) == 1
@@ -79,7 +79,7 @@
     assert "not played to its end, exit code 3" in gone[0]
 
 
-def test_an_older_entry_does_not_stand_for_a_site(make_options, capsys):
+def test_an_older_entry_is_not_used_as_a_result(make_options, capsys):
     options = make_options("gone")
     old = {"cmd": "score", "site": "gone", "ok": True, "days": []}
     (gates.JOURNAL / "old.json").write_text(json.dumps(old))
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(("fault", "step"), CELLS, ids=IDS)
-def test_cell_keeps_every_promise(fault, step):
+def test_cell_violates_no_guarantee(fault, step):
     cell = matrix.run_cell(step, fault)
     assert cell.reached, "the step did not occur: the cell proves nothing"
     assert not cell.violations
--- a/tests/test_platform_process.py
+++ b/tests/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The platform's form as processes: kills, a dead primary, a drain, a store away."""
+"""The platform's daemons as processes: kills, a dead primary, a drain, a lost store."""
 
 import asyncio
 import json
@@ -49,7 +49,7 @@
     run_under_load(tmp_path, steps)
 
 
-def test_the_store_is_away_and_a_configuration_comes(tmp_path):
+def test_a_configuration_written_during_an_outage_is_applied(tmp_path):
     async def steps(made, load):
         made.store.refuse = 503
         await load.wait_acknowledged(50)
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -68,7 +68,7 @@
     return item["promised"] == board["term"] and not item["primary"]
 
 
-def test_short_freeze_promotes_nobody(cluster):
+def test_short_freeze_causes_no_promotion(cluster):
     first = primary_of(cluster)
     with Writers(cluster) as writers:
         time.sleep(WORK_SECONDS)
@@ -80,7 +80,7 @@
     check_exactly_once(cluster, writers, "d2")
 
 
-def test_silent_connections_promote_nobody(cluster):
+def test_silent_connections_cause_no_promotion(cluster):
     """Guards against a failover from a healthy primary.
 
     A middlebox drops the state of open connections: they stay open and silent, while
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -110,9 +110,9 @@
     """Guards against an abandoned claim attempt that takes effect late.
 
     A claim is abandoned and repeated, another home claims the group and writes, and
-    then the first attempt takes effect. If both attempts had the same holder name,
-    this home would take the claim for its own. Never observed; follows from the
-    failure above.
+    then the first attempt takes effect. If both attempts had the same holder name, this
+    home would mistake the claim for its own. Never observed; follows from the failure
+    above.
     """
     ctx = Context(daemon="d0", incarnation="1", rng=Random(1))
     view = GroupView(upstreams=("u1",), majority=1, sample_limit=10)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -49,7 +49,7 @@
     return [text.split(" ")[0] for text in checker.broken]
 
 
-def test_what_runs_as_it_was_sent_breaks_nothing():
+def test_statements_that_run_as_sent_give_no_findings():
     checker = make_checker("a-1", "a-2")
     checker.record_set("a", "x", "1", sent_at=0.0)
     checker.handle_event(ran("a-1", values={"x": "1"}))
@@ -59,7 +59,7 @@
     assert checker.broken == []
 
 
-def test_statements_that_nobody_sent_are_noticed():
+def test_statements_that_were_never_sent_are_noticed():
     checker = make_checker()
     checker.handle_event(ran("a-1"))
     assert violations(checker) == ["UNASKED"]
@@ -112,7 +112,7 @@
     assert violations(checker) == ["DRAIN"]
 
 
-def test_a_cut_by_a_drain_is_noticed_when_all_else_is_calm():
+def test_a_cut_by_a_drain_is_noticed_without_other_faults():
     class Daemon:
         """A daemon that drains."""
 
@@ -133,7 +133,7 @@
     assert violations(checker) == ["LOST", "LOST", "LOST"]
 
 
-def test_a_transaction_that_fails_while_all_is_calm_is_noticed():
+def test_a_transaction_that_fails_without_a_fault_is_noticed():
     checker = make_checker("a-1")
     checker.fault_free_since = time.monotonic()
     checker.check_transaction_end("a-1", "ABORTED")
@@ -149,7 +149,7 @@
     assert violations(checker) == ["ENDED"]
 
 
-def test_the_end_shows_what_was_lost_doubled_kept_or_promoted_twice():
+def test_the_final_check_reports_wrong_logs_and_concurrent_promotions():
     checker = make_checker()
     checker.acked.append(AckedWrite(data=("a",), at=1.0, session="s"))
     checker.refused_writes.append("b")
@@ -204,12 +204,12 @@
     asyncio.run(main())
 
 
-def test_a_member_that_leaves_says_so_until_it_is_gone(tmp_path):
+def test_a_leaving_member_is_listed_as_leaving_until_its_end(tmp_path):
     """Guards against DRAIN findings caused by the stand-in itself.
 
-    When the primary is leaving and another member is promoted, all entries are written
-    anew. If the leaving member were written as ready, reads would run at an upstream
-    that has been leaving for 8 s.
+    When the primary is leaving and another member is promoted, all entries are
+    rewritten. If the leaving member were written as ready, reads would run at an
+    upstream that has been leaving for 8 s.
     """
 
     async def main():
@@ -224,7 +224,7 @@
     asyncio.run(main())
 
 
-def test_a_wire_carries_rewrites_silences_and_resets():
+def test_a_proxy_forwards_rewrites_silences_and_resets():
     async def main():
         async def serve(reader, writer):
             while data := await reader.readline():
@@ -255,7 +255,7 @@
     asyncio.run(main())
 
 
-def test_a_seed_draws_the_same_troubles_and_each_exists():
+def test_a_seed_draws_the_same_faults_and_each_exists():
     assert draw_schedule(7, 60.0) == draw_schedule(7, 60.0) != draw_schedule(8, 60.0)
     assert all(
         hasattr(FaultInjector, name)
@@ -267,14 +267,14 @@
 
 
 @pytest.mark.xdist_group("platform processes")
-def test_a_short_run_breaks_nothing(tmp_path):
+def test_a_short_run_has_no_findings(tmp_path):
     outcome = asyncio.run(soak(seed=SEED, seconds=SECONDS, daemons=3, folder=tmp_path))
     assert outcome.broken == [] and outcome.exits == []
     assert outcome.statements > 0
 
 
 @pytest.mark.xdist_group("platform processes")
-def test_a_short_run_of_owners_that_are_restarted_breaks_nothing(tmp_path):
+def test_a_short_run_with_restarted_owners_has_no_findings(tmp_path):
     """Three of five daemons own the group; restarts alone end no transaction."""
     outcome = asyncio.run(
         soak(
@@ -291,7 +291,7 @@
 
 
 @pytest.mark.xdist_group("platform processes")
-def test_a_short_run_with_a_store_that_returns_from_copies_breaks_nothing(tmp_path):
+def test_a_short_run_with_a_restored_store_has_no_findings(tmp_path):
     outcome = asyncio.run(
         soak(
             seed=RETURNS_SEED,
