--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -69,7 +69,7 @@
 def test_a_failed_gate_and_a_site_without_a_result_are_reported(make_options, capsys):
     """Guards against a table that omits sites without a result.
 
-    The bench gives up on one site, which then has no entry in the journal, and another
+    The bench aborts one site, which then has no entry in the journal, and another
     one fails its gate. Both have to be in the table.
     """
     assert main(make_options("good", "bad", "gone")) == 1
